--- a/bench/placement/engine.c
+++ b/bench/placement/engine.c
@@ -23,8 +23,8 @@
     g_queue_init(&engine->order);
     engine->memory = g_hash_table_new(g_int64_hash, g_int64_equal);
     engine->runs = g_hash_table_new(NULL, NULL);
-    pgw_announced_init(&engine->announced);
-    pgw_held_parts_init(&engine->parts);
+    pgw_announced_prompts_init(&engine->announced);
+    pgw_cached_parts_init(&engine->parts);
     engine->parts.epoch = 1;
 }
 
@@ -43,8 +43,8 @@
     g_hash_table_destroy(engine->memory);
     g_queue_clear(&engine->waiting);
     g_hash_table_destroy(engine->runs);
-    pgw_announced_dispose(&engine->announced);
-    pgw_held_parts_dispose(&engine->parts);
+    pgw_announced_prompts_dispose(&engine->announced);
+    pgw_cached_parts_dispose(&engine->parts);
 }
 
 static void
@@ -58,7 +58,7 @@
     };
 
     if (news->version == sim->version) {
-        pgw_held_parts_take(&news->engine->parts, &events);
+        pgw_cached_parts_apply_events(&news->engine->parts, &events);
     }
     g_free(news);
 }
@@ -119,7 +119,7 @@
 sim_engine_empty(struct sim_engine *engine)
 {
     drop_all(engine);
-    pgw_held_parts_clear(&engine->parts);
+    pgw_cached_parts_clear(&engine->parts);
     engine->parts.epoch = 1;
 }
 
--- a/bench/placement/entry.c
+++ b/bench/placement/entry.c
@@ -94,7 +94,7 @@
         job->announced = job->prefill >= PGW_LONG_PREFILL;
         sim_at(sim, sim->now_us + hop(job), expect, announcement);
     }
-    pgw_prefix_memory_note(&upstream->expected, job->key, sim->now_us);
+    pgw_recent_parts_add(&upstream->expected, job->key, sim->now_us);
     upstream->inflight++;
     upstream->inflight_tokens += job->counted;
     upstream->prefill_tokens += job->prefill;
@@ -104,10 +104,10 @@
 
 void
 sim_entry_take_part(struct pgw_upstream *upstream,
-                    const struct pgw_told_part *part, uint64_t now_us)
+                    const struct pgw_part_update *part, uint64_t now_us)
 {
     if (part->expected) {
-        pgw_prefix_memory_note(&upstream->expected, part->key, now_us);
+        pgw_recent_parts_add(&upstream->expected, part->key, now_us);
     }
     else {
         pgw_upstream_hold(upstream, part->key, part->tokens);
@@ -120,7 +120,8 @@
     struct sim_announcement *announcement = what;
 
     (void)sim;
-    pgw_announced_end(&announcement->engine->announced, announcement->request);
+    pgw_announced_prompts_end(&announcement->engine->announced,
+                              announcement->request);
     g_free(announcement);
 }
 
--- a/bench/placement/sidecar.c
+++ b/bench/placement/sidecar.c
@@ -11,7 +11,8 @@
 current_load(const struct sim_engine *engine)
 {
     struct pgw_upstream_load load = engine->report;
-    struct pgw_unread unread = pgw_announced_unread(&engine->announced);
+    struct pgw_unread unread =
+        pgw_announced_prompts_unread(&engine->announced);
 
     load.running += engine->arrivals;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -26,8 +27,8 @@
 {
     out->load = current_load(engine);
     out->part =
-        pgw_held_parts_answer(&engine->parts, key, engine->sim->now_us);
-    engine->sim->bytes += PGW_GUARD_STATE_BYTES + PGW_GUARD_PART_BYTES;
+        pgw_cached_parts_lookup(&engine->parts, key, engine->sim->now_us);
+    engine->sim->bytes += PGW_REPORT_FULL_BYTES + PGW_REPORT_PART_BYTES;
 }
 
 /* Returns the bytes that it takes. */
@@ -36,7 +37,7 @@
 {
     struct sim *sim = engine->sim;
     size_t bytes = 0;
-    GArray *words = pgw_held_parts_changes(&engine->parts, far, most);
+    GArray *words = pgw_cached_parts_changes(&engine->parts, far, most);
 
     for (unsigned i = 0; i < sim->entry_count; i++) {
         struct pgw_upstream *upstream =
@@ -47,11 +48,11 @@
         }
         pgw_upstream_take_load(upstream, &engine->told, sim->now_us);
         for (unsigned j = 0; j < words->len; j++) {
-            sim_entry_take_part(upstream,
-                                &g_array_index(words, struct pgw_told_part, j),
-                                sim->now_us);
+            sim_entry_take_part(
+                upstream, &g_array_index(words, struct pgw_part_update, j),
+                sim->now_us);
         }
-        bytes += PGW_GUARD_LOAD_BYTES + words->len * PGW_GUARD_PART_BYTES;
+        bytes += PGW_REPORT_LOAD_BYTES + words->len * PGW_REPORT_PART_BYTES;
     }
     sim->bytes += bytes;
     g_array_unref(words);
@@ -68,7 +69,7 @@
     return engine->sim->now_us - engine->told_us >= PUSH_MAX_US ||
            now.long_prefills != engine->told.long_prefills ||
            ABS(moved) >= NEWS_REQUESTS ||
-           pgw_held_parts_is_news(&engine->parts, false);
+           pgw_cached_parts_has_changes(&engine->parts, false);
 }
 
 /* Entries of other zones that get reports unasked. */
@@ -84,11 +85,12 @@
     uint64_t now = engine->sim->now_us;
 
     if (is_news(engine) &&
-        pgw_guard_budget_has(&engine->budget,
-                             far_entries(&engine->sim->options), now)) {
+        pgw_report_budget_has(&engine->budget,
+                              far_entries(&engine->sim->options), now)) {
         engine->told = current_load(engine);
         engine->told_us = now;
-        pgw_guard_budget_spend(&engine->budget, tell(engine, false, SIZE_MAX));
+        pgw_report_budget_spend(&engine->budget,
+                                tell(engine, false, SIZE_MAX));
     }
 }
 
@@ -98,10 +100,10 @@
     unsigned entries = far_entries(&engine->sim->options);
     uint64_t now = engine->sim->now_us;
 
-    if (entries > 0 &&
-        now - engine->told_far_us >= pgw_guard_far_period_us(entries)) {
+    if (entries > 0 && now - engine->told_far_us >=
+                           pgw_report_budget_remote_period_us(entries)) {
         engine->told_far_us = now;
-        tell(engine, true, pgw_guard_far_parts_most(entries));
+        tell(engine, true, pgw_report_budget_remote_parts_max(entries));
     }
 }
 
@@ -111,12 +113,12 @@
 {
     engine->arrivals++;
     if (announcement->to_read >= PGW_LONG_PREFILL) {
-        pgw_announced_add(&engine->announced, announcement->request,
-                          announcement->to_read, engine->sim->now_us);
+        pgw_announced_prompts_add(&engine->announced, announcement->request,
+                                  announcement->to_read, engine->sim->now_us);
     }
     engine->arriving_tokens += announcement->memory;
-    pgw_held_parts_expect(&engine->parts, announcement->key,
-                          announcement->tokens, engine->sim->now_us);
+    pgw_cached_parts_expect(&engine->parts, announcement->key,
+                            announcement->tokens, engine->sim->now_us);
     tell_zone(engine);
 }
 
@@ -145,7 +147,8 @@
             work.reading++;
         }
     }
-    pgw_announced_report(&engine->announced, &work, engine->sim->now_us);
+    pgw_announced_prompts_report(&engine->announced, &work,
+                                 engine->sim->now_us);
     g_free(runs);
 }
 
--- a/bench/placement/sim.h
+++ b/bench/placement/sim.h
@@ -1,10 +1,10 @@
 #ifndef BENCH_PLACEMENT_SIM_H
 #define BENCH_PLACEMENT_SIM_H
 
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
+#include "gateway/cached_parts.h"
 #include "gateway/choose.h"
-#include "gateway/guard_budget.h"
-#include "gateway/held_parts.h"
+#include "gateway/report_budget.h"
 #include <glib.h>
 
 /**
@@ -141,7 +141,7 @@
 /** struct sim_answer - a sidecar's answer to a probe */
 struct sim_answer {
     struct pgw_upstream_load load;
-    struct pgw_told_part part;
+    struct pgw_part_update part;
 };
 
 /** struct sim_announcement - what an entry says of a request that it sends */
@@ -192,12 +192,12 @@
     GHashTable *memory; /* key -> link in @order */
     GQueue order;       /* of struct sim_held, least recently used first */
     uint64_t held_tokens;
-    struct pgw_held_parts parts;
+    struct pgw_cached_parts parts;
     struct pgw_upstream_load report;
-    struct pgw_announced announced;
+    struct pgw_announced_prompts announced;
     unsigned arrivals;
     uint64_t arriving_tokens;
-    struct pgw_guard_budget budget;
+    struct pgw_report_budget budget;
     struct pgw_upstream_load told;
     uint64_t told_us;
     uint64_t told_far_us;
@@ -287,7 +287,7 @@
 void sim_entry_place(struct sim *sim, void *job);
 /** sim_entry_take_part() - a sidecar's word on a part */
 void sim_entry_take_part(struct pgw_upstream *upstream,
-                         const struct pgw_told_part *part, uint64_t now_us);
+                         const struct pgw_part_update *part, uint64_t now_us);
 /** sim_entry_first() - the first token has come */
 void sim_entry_first(struct sim *sim, void *job);
 /** sim_entry_end() - the whole answer has come */
--- a/src/gateway/announced.c
+++ b/src/gateway/announced_prompts.c
@@ -1,4 +1,4 @@
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
 #include <string.h>
 #include <xxhash.h>
 
@@ -11,7 +11,7 @@
 
 /**
  * struct announced_request - one of them
- * @id: pgw_announced_id() of the request
+ * @id: pgw_announced_prompts_id() of the request
  * @to_read: tokens that are left to be read
  * @at_us: when it was announced
  * @seen: a report had it
@@ -24,33 +24,33 @@
 };
 
 uint64_t
-pgw_announced_id(const char *id)
+pgw_announced_prompts_id(const char *id)
 {
     return XXH3_64bits(id, strlen(id));
 }
 
 void
-pgw_announced_init(struct pgw_announced *announced)
+pgw_announced_prompts_init(struct pgw_announced_prompts *announced)
 {
     announced->requests =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 }
 
 void
-pgw_announced_dispose(struct pgw_announced *announced)
+pgw_announced_prompts_dispose(struct pgw_announced_prompts *announced)
 {
     g_hash_table_destroy(announced->requests);
 }
 
 void
-pgw_announced_clear(struct pgw_announced *announced)
+pgw_announced_prompts_clear(struct pgw_announced_prompts *announced)
 {
     g_hash_table_remove_all(announced->requests);
 }
 
 void
-pgw_announced_add(struct pgw_announced *announced, uint64_t id,
-                  uint32_t to_read, uint64_t now_us)
+pgw_announced_prompts_add(struct pgw_announced_prompts *announced, uint64_t id,
+                          uint32_t to_read, uint64_t now_us)
 {
     struct announced_request *request;
 
@@ -65,7 +65,7 @@
 }
 
 void
-pgw_announced_end(struct pgw_announced *announced, uint64_t id)
+pgw_announced_prompts_end(struct pgw_announced_prompts *announced, uint64_t id)
 {
     g_hash_table_remove(announced->requests, &id);
 }
@@ -84,7 +84,7 @@
 /* Removes those that are over, and returns how many may be left of those that
  * have arrived and are not listed. */
 static uint32_t
-remove_ended(struct pgw_announced *announced,
+remove_ended(struct pgw_announced_prompts *announced,
              const struct pgw_engine_work *work, uint64_t now_us)
 {
     uint32_t unlisted = 0;
@@ -112,7 +112,7 @@
 }
 
 static void
-remove_oldest(struct pgw_announced *announced)
+remove_oldest(struct pgw_announced_prompts *announced)
 {
     const struct announced_request *oldest = NULL;
     GHashTableIter iter;
@@ -139,8 +139,9 @@
  * in their order.
  */
 void
-pgw_announced_report(struct pgw_announced *announced,
-                     const struct pgw_engine_work *work, uint64_t now_us)
+pgw_announced_prompts_report(struct pgw_announced_prompts *announced,
+                             const struct pgw_engine_work *work,
+                             uint64_t now_us)
 {
     uint32_t unlisted = remove_ended(announced, work, now_us);
 
@@ -151,7 +152,7 @@
 }
 
 struct pgw_unread
-pgw_announced_unread(const struct pgw_announced *announced)
+pgw_announced_prompts_unread(const struct pgw_announced_prompts *announced)
 {
     struct pgw_unread unread = {0};
     GHashTableIter iter;
--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -1,4 +1,4 @@
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
 #include "gateway/exchange.h"
 #include "util/log.h"
 #include "util/metric.h"
@@ -20,7 +20,7 @@
 
     if (exchange->announced && gateway->sidecars != NULL) {
         struct pgw_announcement over = {
-            .request = pgw_announced_id(exchange->facts.id),
+            .request = pgw_announced_prompts_id(exchange->facts.id),
         };
 
         gateway->sidecars->announce(gateway->sidecars_context,
@@ -100,8 +100,8 @@
     const struct pgw_route *route = exchange->route;
 
     if (exchange->runs >= MAX(route->max_attempts, 1) ||
-        pgw_poison_holds(exchange->gateway->poison, &exchange->fingerprint,
-                         pgw_now_us())) {
+        pgw_crash_quarantine_is_active(exchange->gateway->poison,
+                                       &exchange->fingerprint, pgw_now_us())) {
         return false;
     }
 #ifndef PGW_DISABLE_GATEWAY_ONCE
@@ -120,7 +120,8 @@
 pgw_attempt_take_repeat(struct pgw_exchange *exchange)
 {
     if (exchange->sends >= SENDS_MAX || exchange->caller == NULL ||
-        !pgw_budgets_withdraw(exchange->gateway->budgets, exchange->service)) {
+        !pgw_retry_budgets_withdraw(exchange->gateway->budgets,
+                                    exchange->service)) {
         return false;
     }
     pgw_metric_register_counter(&repeats);
--- a/src/gateway/held_parts.c
+++ b/src/gateway/cached_parts.c
@@ -1,4 +1,4 @@
-#include "gateway/held_parts.h"
+#include "gateway/cached_parts.h"
 #include <stdlib.h>
 
 /* Keys that are remembered as asked for before older ones are forgotten: an
@@ -17,9 +17,9 @@
 }
 
 void
-pgw_held_parts_init(struct pgw_held_parts *parts)
+pgw_cached_parts_init(struct pgw_cached_parts *parts)
 {
-    *parts = (struct pgw_held_parts){
+    *parts = (struct pgw_cached_parts){
         .tokens = key_table(),
         .asked = key_table(),
         .asked_before = key_table(),
@@ -33,7 +33,7 @@
 }
 
 void
-pgw_held_parts_dispose(struct pgw_held_parts *parts)
+pgw_cached_parts_dispose(struct pgw_cached_parts *parts)
 {
     g_hash_table_destroy(parts->tokens);
     g_hash_table_destroy(parts->asked);
@@ -46,7 +46,7 @@
 }
 
 void
-pgw_held_parts_clear(struct pgw_held_parts *parts)
+pgw_cached_parts_clear(struct pgw_cached_parts *parts)
 {
     g_hash_table_remove_all(parts->tokens);
     g_hash_table_remove_all(parts->expected);
@@ -74,22 +74,22 @@
 }
 
 static bool
-is_asked(const struct pgw_held_parts *parts, uint64_t key)
+is_asked(const struct pgw_cached_parts *parts, uint64_t key)
 {
     return g_hash_table_contains(parts->asked, &key) ||
            g_hash_table_contains(parts->asked_before, &key);
 }
 
 static void
-note_change(struct pgw_held_parts *parts, uint64_t key)
+note_change(struct pgw_cached_parts *parts, uint64_t key)
 {
     set(parts->near_changed, key, 1);
     set(parts->far_changed, key, 1);
 }
 
 void
-pgw_held_parts_take(struct pgw_held_parts *parts,
-                    const struct pgw_cache_events *events)
+pgw_cached_parts_apply_events(struct pgw_cached_parts *parts,
+                              const struct pgw_cache_events *events)
 {
     /*
      * Failure: an engine starts anew, or its events were overwritten before
@@ -98,7 +98,7 @@
      */
 #ifndef PGW_DISABLE_GATEWAY_HELD
     if (events->epoch != parts->epoch || events->gap) {
-        pgw_held_parts_clear(parts);
+        pgw_cached_parts_clear(parts);
         parts->epoch = events->epoch;
     }
 #endif
@@ -130,7 +130,7 @@
 /* A request may be refused, and nothing will come of it: what is too old to be
  * on its way goes when there are many. */
 static void
-note_arrival(struct pgw_held_parts *parts, uint64_t key, uint64_t now_us)
+note_arrival(struct pgw_cached_parts *parts, uint64_t key, uint64_t now_us)
 {
     if (g_hash_table_size(parts->arriving) >= ARRIVING_MAX) {
         g_hash_table_foreach_remove(parts->arriving, is_old, &now_us);
@@ -143,8 +143,8 @@
 }
 
 void
-pgw_held_parts_expect(struct pgw_held_parts *parts, uint64_t key,
-                      uint32_t tokens, uint64_t now_us)
+pgw_cached_parts_expect(struct pgw_cached_parts *parts, uint64_t key,
+                        uint32_t tokens, uint64_t now_us)
 {
     bool is_new = !is_asked(parts, key);
 
@@ -154,7 +154,7 @@
         parts->asked = key_table();
     }
     set(parts->asked, key, 1);
-    if (pgw_held_parts_tokens(parts, key) == 0) {
+    if (pgw_cached_parts_tokens(parts, key) == 0) {
         set(parts->expected, key, tokens);
         note_arrival(parts, key, now_us);
         note_change(parts, key);
@@ -165,26 +165,26 @@
 }
 
 uint32_t
-pgw_held_parts_tokens(const struct pgw_held_parts *parts, uint64_t key)
+pgw_cached_parts_tokens(const struct pgw_cached_parts *parts, uint64_t key)
 {
     return lookup(parts->tokens, key);
 }
 
 bool
-pgw_held_parts_is_news(const struct pgw_held_parts *parts, bool far)
+pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts, bool far)
 {
     return far ? parts->far_reset || g_hash_table_size(parts->far_changed) > 0
                : parts->reset || g_hash_table_size(parts->near_changed) > 0;
 }
 
-struct pgw_told_part
-pgw_held_parts_answer(const struct pgw_held_parts *parts, uint64_t key,
-                      uint64_t now_us)
+struct pgw_part_update
+pgw_cached_parts_lookup(const struct pgw_cached_parts *parts, uint64_t key,
+                        uint64_t now_us)
 {
     const uint64_t *at_us = g_hash_table_lookup(parts->arriving, &key);
-    uint32_t held = pgw_held_parts_tokens(parts, key);
+    uint32_t held = pgw_cached_parts_tokens(parts, key);
 
-    return (struct pgw_told_part){
+    return (struct pgw_part_update){
         .key = key,
         .tokens = held,
         .expected =
@@ -193,13 +193,13 @@
 }
 
 /* What there is to say of a part to who was not told yet. */
-static struct pgw_told_part
-word_of(const struct pgw_held_parts *parts, uint64_t key)
+static struct pgw_part_update
+word_of(const struct pgw_cached_parts *parts, uint64_t key)
 {
-    uint32_t held = pgw_held_parts_tokens(parts, key);
+    uint32_t held = pgw_cached_parts_tokens(parts, key);
     uint32_t expected = lookup(parts->expected, key);
 
-    return (struct pgw_told_part){
+    return (struct pgw_part_update){
         .key = key,
         .tokens = held > 0 ? held : expected,
         .expected = held == 0 && expected > 0,
@@ -209,15 +209,16 @@
 /* The others are not told what they know, nor of the end of what they never
  * heard of. */
 static bool
-is_news_far_away(const struct pgw_held_parts *parts,
-                 const struct pgw_told_part *word)
+is_news_far_away(const struct pgw_cached_parts *parts,
+                 const struct pgw_part_update *word)
 {
     return word->expected ||
            word->tokens != lookup(parts->far_known, word->key);
 }
 
 static uint32_t
-weight_of(const struct pgw_held_parts *parts, const struct pgw_told_part *word)
+weight_of(const struct pgw_cached_parts *parts,
+          const struct pgw_part_update *word)
 {
     return MAX(word->tokens, lookup(parts->far_known, word->key));
 }
@@ -232,11 +233,11 @@
 }
 
 static void
-count_as_told(struct pgw_held_parts *parts, const GArray *words, bool far)
+count_as_told(struct pgw_cached_parts *parts, const GArray *words, bool far)
 {
     for (unsigned i = 0; i < words->len; i++) {
-        const struct pgw_told_part *word =
-            &g_array_index(words, struct pgw_told_part, i);
+        const struct pgw_part_update *word =
+            &g_array_index(words, struct pgw_part_update, i);
 
         g_hash_table_remove(far ? parts->far_changed : parts->near_changed,
                             &word->key);
@@ -254,16 +255,16 @@
 }
 
 GArray *
-pgw_held_parts_changes(struct pgw_held_parts *parts, bool far, size_t most)
+pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool far, size_t most)
 {
     GHashTable *changed = far ? parts->far_changed : parts->near_changed;
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_told_part));
+    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     GHashTableIter iter;
     void *key;
 
     g_hash_table_iter_init(&iter, changed);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        struct pgw_told_part word = word_of(parts, *(const uint64_t *)key);
+        struct pgw_part_update word = word_of(parts, *(const uint64_t *)key);
 
         if (far && !is_news_far_away(parts, &word)) {
             g_hash_table_iter_remove(&iter);
@@ -286,16 +287,16 @@
 }
 
 GArray *
-pgw_held_parts_all(const struct pgw_held_parts *parts, bool far)
+pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far)
 {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_told_part));
+    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     GHashTableIter iter;
     void *key;
     void *tokens;
 
     g_hash_table_iter_init(&iter, far ? parts->far_known : parts->tokens);
     while (g_hash_table_iter_next(&iter, &key, &tokens)) {
-        struct pgw_told_part word = {
+        struct pgw_part_update word = {
             .key = *(const uint64_t *)key,
             .tokens = GPOINTER_TO_UINT(tokens),
         };
--- a/src/gateway/held_parts.h
+++ b/src/gateway/cached_parts.h
@@ -1,5 +1,5 @@
-#ifndef PGW_GATEWAY_HELD_PARTS_H
-#define PGW_GATEWAY_HELD_PARTS_H
+#ifndef PGW_GATEWAY_CACHED_PARTS_H
+#define PGW_GATEWAY_CACHED_PARTS_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -50,19 +50,19 @@
 };
 
 /**
- * struct pgw_told_part - word of one part, for entries
+ * struct pgw_part_update - word of one part, for entries
  * @key: pgw_part_key() of the part
  * @tokens: tokens of it that are held; 0: none
  * @expected: it is on its way there and counts as held for a moment
  */
-struct pgw_told_part {
+struct pgw_part_update {
     uint64_t key;
     uint32_t tokens;
     bool expected;
 };
 
 /**
- * struct pgw_held_parts - the parts
+ * struct pgw_cached_parts - the parts
  * @epoch: of the engine's current start
  * @next: where the next call begins
  * @tokens: key -> tokens of all that is held
@@ -77,7 +77,7 @@
  * @reset: what was told before is void
  * @far_reset: the same for the others
  */
-struct pgw_held_parts {
+struct pgw_cached_parts {
     uint64_t epoch;
     uint64_t next;
     GHashTable *tokens;
@@ -92,51 +92,55 @@
     bool far_reset;
 };
 
-void pgw_held_parts_init(struct pgw_held_parts *parts);
-void pgw_held_parts_dispose(struct pgw_held_parts *parts);
+void pgw_cached_parts_init(struct pgw_cached_parts *parts);
+void pgw_cached_parts_dispose(struct pgw_cached_parts *parts);
 
-/** pgw_held_parts_take() - an answer of the engine */
-void pgw_held_parts_take(struct pgw_held_parts *parts,
-                         const struct pgw_cache_events *events);
+/** pgw_cached_parts_apply_events() - an answer of the engine */
+void pgw_cached_parts_apply_events(struct pgw_cached_parts *parts,
+                                   const struct pgw_cache_events *events);
 
-/** pgw_held_parts_clear() - the engine dropped everything, or started anew */
-void pgw_held_parts_clear(struct pgw_held_parts *parts);
+/** pgw_cached_parts_clear() - the engine dropped everything, or started anew
+ */
+void pgw_cached_parts_clear(struct pgw_cached_parts *parts);
 
 /**
- * pgw_held_parts_expect() - an entry sends a request that shares a part
+ * pgw_cached_parts_expect() - an entry sends a request that shares a part
  * @parts: the parts
  * @key: pgw_part_key() of the part
  * @tokens: its size
  * @now_us: monotonic time
  */
-void pgw_held_parts_expect(struct pgw_held_parts *parts, uint64_t key,
-                           uint32_t tokens, uint64_t now_us);
+void pgw_cached_parts_expect(struct pgw_cached_parts *parts, uint64_t key,
+                             uint32_t tokens, uint64_t now_us);
 
-/** pgw_held_parts_tokens() - tokens of a part that are held */
-uint32_t pgw_held_parts_tokens(const struct pgw_held_parts *parts,
-                               uint64_t key);
+/** pgw_cached_parts_tokens() - tokens of a part that are held */
+uint32_t pgw_cached_parts_tokens(const struct pgw_cached_parts *parts,
+                                 uint64_t key);
 
-/** pgw_held_parts_answer() - what there is to say of a part to who asks; 0
+/** pgw_cached_parts_lookup() - what there is to say of a part to who asks; 0
  * tokens: it is neither held nor on its way */
-struct pgw_told_part pgw_held_parts_answer(const struct pgw_held_parts *parts,
-                                           uint64_t key, uint64_t now_us);
+struct pgw_part_update
+pgw_cached_parts_lookup(const struct pgw_cached_parts *parts, uint64_t key,
+                        uint64_t now_us);
 
-/** pgw_held_parts_is_news() - something was not told yet */
-bool pgw_held_parts_is_news(const struct pgw_held_parts *parts, bool far);
+/** pgw_cached_parts_has_changes() - something was not told yet */
+bool pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts,
+                                  bool far);
 
 /**
- * pgw_held_parts_changes() - what is to be told now
+ * pgw_cached_parts_changes() - what is to be told now
  * @parts: the parts
  * @far: to entries of other zones
  * @most: so many at most, the largest first; the rest stays for the next time
  *
- * Return: array of &struct pgw_told_part, owned by the caller; counts as told.
+ * Return: array of &struct pgw_part_update, owned by the caller; counts as
+ * told.
  */
-GArray *pgw_held_parts_changes(struct pgw_held_parts *parts, bool far,
-                               size_t most);
+GArray *pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool far,
+                                 size_t most);
 
-/** pgw_held_parts_all() - all that an entry which is new has to know; array of
- * &struct pgw_told_part, owned by the caller */
-GArray *pgw_held_parts_all(const struct pgw_held_parts *parts, bool far);
+/** pgw_cached_parts_all() - all that an entry which is new has to know; array
+ * of &struct pgw_part_update, owned by the caller */
+GArray *pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far);
 
 #endif
--- a/src/gateway/poison.c
+++ b/src/gateway/crash_quarantine.c
@@ -1,4 +1,4 @@
-#include "gateway/poison.h"
+#include "gateway/crash_quarantine.h"
 #include "parsleygw/place.h"
 #include "util/log.h"
 #include "util/metric.h"
@@ -32,8 +32,8 @@
  */
 struct record {
     struct pgw_fingerprint fingerprint;
-    uint64_t crashes[PGW_POISON_CRASHES_MAX];
-    uint64_t at_us[PGW_POISON_CRASHES_MAX];
+    uint64_t crashes[PGW_CRASH_QUARANTINE_CRASHES_MAX];
+    uint64_t at_us[PGW_CRASH_QUARANTINE_CRASHES_MAX];
     uint32_t count;
     uint32_t valid;
     uint64_t last_us;
@@ -59,8 +59,8 @@
  * @broken: of &struct broken_run, the oldest first
  * @dead: of &struct dead_upstream, the oldest first
  */
-struct pgw_poison {
-    struct pgw_poison_options options;
+struct pgw_crash_quarantine {
+    struct pgw_crash_quarantine_options options;
     GHashTable *records;
     GArray *broken;
     GArray *dead;
@@ -69,12 +69,13 @@
     void *context;
 };
 
-struct pgw_poison *
-pgw_poison_new(const struct pgw_poison_options *options)
+struct pgw_crash_quarantine *
+pgw_crash_quarantine_new(const struct pgw_crash_quarantine_options *options)
 {
-    struct pgw_poison *poison = g_new0(struct pgw_poison, 1);
+    struct pgw_crash_quarantine *poison =
+        g_new0(struct pgw_crash_quarantine, 1);
 
-    g_assert(options->crashes <= PGW_POISON_CRASHES_MAX);
+    g_assert(options->crashes <= PGW_CRASH_QUARANTINE_CRASHES_MAX);
     poison->options = *options;
     poison->records = g_hash_table_new_full(
         pgw_fingerprint_hash, pgw_fingerprint_equal, NULL, g_free);
@@ -86,7 +87,7 @@
 }
 
 void
-pgw_poison_free(struct pgw_poison *poison)
+pgw_crash_quarantine_free(struct pgw_crash_quarantine *poison)
 {
     g_array_unref(poison->broken);
     g_array_unref(poison->dead);
@@ -95,18 +96,19 @@
 }
 
 void
-pgw_poison_subscribe(struct pgw_poison *poison,
-                     void (*on_crashed)(const struct pgw_crashed_run *crashed,
-                                        size_t count, void *context),
-                     void *context)
+pgw_crash_quarantine_subscribe(
+    struct pgw_crash_quarantine *poison,
+    void (*on_crashed)(const struct pgw_crashed_run *crashed, size_t count,
+                       void *context),
+    void *context)
 {
     poison->on_crashed = on_crashed;
     poison->context = context;
 }
 
 static void
-publish(const struct pgw_poison *poison, const struct pgw_crashed_run *crashed,
-        size_t count)
+publish(const struct pgw_crash_quarantine *poison,
+        const struct pgw_crashed_run *crashed, size_t count)
 {
     if (count > 0 && poison->on_crashed != NULL) {
         poison->on_crashed(crashed, count, poison->context);
@@ -114,20 +116,20 @@
 }
 
 static struct broken_run *
-broken_at(const struct pgw_poison *poison, guint index)
+broken_at(const struct pgw_crash_quarantine *poison, guint index)
 {
     return &g_array_index(poison->broken, struct broken_run, index);
 }
 
 static struct dead_upstream *
-dead_at(const struct pgw_poison *poison, guint index)
+dead_at(const struct pgw_crash_quarantine *poison, guint index)
 {
     return &g_array_index(poison->dead, struct dead_upstream, index);
 }
 
 /* What is older than the time in which both belong together. */
 static void
-forget_old(struct pgw_poison *poison, uint64_t now_us)
+forget_old(struct pgw_crash_quarantine *poison, uint64_t now_us)
 {
     uint64_t link_us = poison->options.link_us;
     guint old = 0;
@@ -155,7 +157,7 @@
 
 /* The record of a fingerprint, a new one where there is room. */
 static struct record *
-record_get(struct pgw_poison *poison,
+record_get(struct pgw_crash_quarantine *poison,
            const struct pgw_fingerprint *fingerprint, uint64_t now_us)
 {
     struct record *record = g_hash_table_lookup(poison->records, fingerprint);
@@ -186,8 +188,8 @@
 
 /* Whether one of the crashes that count was at about the same time. */
 static bool
-is_same_event(const struct pgw_poison *poison, const struct record *record,
-              uint64_t at_us)
+is_same_event(const struct pgw_crash_quarantine *poison,
+              const struct record *record, uint64_t at_us)
 {
     for (uint32_t i = record->count - record->valid; i < record->count; i++) {
         uint64_t other = record->at_us[i];
@@ -214,7 +216,7 @@
 static void
 append_crash(struct record *record, uint64_t crash, uint64_t at_us)
 {
-    if (record->count == PGW_POISON_CRASHES_MAX) {
+    if (record->count == PGW_CRASH_QUARANTINE_CRASHES_MAX) {
         record->count--;
         memmove(record->crashes, record->crashes + 1,
                 record->count * sizeof(record->crashes[0]));
@@ -230,7 +232,8 @@
 
 /* Holds a record back whose crashes are enough, for longer each time. */
 static void
-hold(struct pgw_poison *poison, struct record *record, uint64_t now_us)
+hold(struct pgw_crash_quarantine *poison, struct record *record,
+     uint64_t now_us)
 {
     uint64_t us = poison->options.hold_us;
 
@@ -247,7 +250,7 @@
 
 /* Return: whether this was not known and counts. */
 static bool
-count_crash(struct pgw_poison *poison,
+count_crash(struct pgw_crash_quarantine *poison,
             const struct pgw_fingerprint *fingerprint, uint64_t crash,
             uint64_t at_us, uint64_t now_us)
 {
@@ -272,7 +275,7 @@
 }
 
 static bool
-is_dead(const struct pgw_poison *poison, uint64_t crash)
+is_dead(const struct pgw_crash_quarantine *poison, uint64_t crash)
 {
     for (guint i = 0; i < poison->dead->len; i++) {
         if (dead_at(poison, i)->crash == crash) {
@@ -283,9 +286,9 @@
 }
 
 void
-pgw_poison_broke(struct pgw_poison *poison,
-                 const struct pgw_fingerprint *fingerprint,
-                 const char *upstream, uint64_t now_us)
+pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *poison,
+                                     const struct pgw_fingerprint *fingerprint,
+                                     const char *upstream, uint64_t now_us)
 {
     struct broken_run run = {*fingerprint, pgw_place_id_hash(upstream),
                              now_us};
@@ -302,7 +305,7 @@
 
 /* Counts what broke off at an upstream that has crashed. */
 static void
-link_runs(struct pgw_poison *poison, uint64_t crash, GArray *crashed,
+link_runs(struct pgw_crash_quarantine *poison, uint64_t crash, GArray *crashed,
           uint64_t now_us)
 {
     for (guint i = poison->broken->len; i > 0; i--) {
@@ -322,8 +325,8 @@
 }
 
 void
-pgw_poison_crashed(struct pgw_poison *poison, const char *upstream,
-                   uint64_t now_us)
+pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *poison,
+                               const char *upstream, uint64_t now_us)
 {
     struct dead_upstream dead = {pgw_place_id_hash(upstream), now_us};
     GArray *crashed;
@@ -342,7 +345,8 @@
 
 /* Return: whether anything counted against it. */
 static bool
-clear(struct pgw_poison *poison, const struct pgw_fingerprint *fingerprint)
+clear(struct pgw_crash_quarantine *poison,
+      const struct pgw_fingerprint *fingerprint)
 {
     struct record *record = g_hash_table_lookup(poison->records, fingerprint);
     char name[PGW_FINGERPRINT_HEX];
@@ -359,8 +363,8 @@
 }
 
 void
-pgw_poison_ended_well(struct pgw_poison *poison,
-                      const struct pgw_fingerprint *fingerprint)
+pgw_crash_quarantine_clear(struct pgw_crash_quarantine *poison,
+                           const struct pgw_fingerprint *fingerprint)
 {
     struct pgw_crashed_run crashed = {*fingerprint, 0, 0};
 
@@ -370,9 +374,9 @@
 }
 
 void
-pgw_poison_add(struct pgw_poison *poison,
-               const struct pgw_crashed_run *crashed, size_t count,
-               uint64_t now_us)
+pgw_crash_quarantine_merge(struct pgw_crash_quarantine *poison,
+                           const struct pgw_crashed_run *crashed, size_t count,
+                           uint64_t now_us)
 {
     for (size_t i = 0; i < count; i++) {
         const struct pgw_fingerprint *fingerprint = &crashed[i].fingerprint;
@@ -389,8 +393,9 @@
 }
 
 bool
-pgw_poison_holds(const struct pgw_poison *poison,
-                 const struct pgw_fingerprint *fingerprint, uint64_t now_us)
+pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *poison,
+                               const struct pgw_fingerprint *fingerprint,
+                               uint64_t now_us)
 {
     const struct record *record =
         g_hash_table_lookup(poison->records, fingerprint);
@@ -402,7 +407,8 @@
 }
 
 GArray *
-pgw_poison_known(const struct pgw_poison *poison, uint64_t now_us)
+pgw_crash_quarantine_list(const struct pgw_crash_quarantine *poison,
+                          uint64_t now_us)
 {
     GArray *crashed =
         g_array_new(FALSE, FALSE, sizeof(struct pgw_crashed_run));
--- a/src/gateway/poison.h
+++ b/src/gateway/crash_quarantine.h
@@ -1,5 +1,5 @@
-#ifndef PGW_GATEWAY_POISON_H
-#define PGW_GATEWAY_POISON_H
+#ifndef PGW_GATEWAY_CRASH_QUARANTINE_H
+#define PGW_GATEWAY_CRASH_QUARANTINE_H
 
 #include "parsleygw/quarantine.h"
 #include <glib.h>
@@ -34,7 +34,7 @@
 };
 
 /**
- * struct pgw_poison_options - thresholds
+ * struct pgw_crash_quarantine_options - thresholds
  * @crashes: distinct incarnations after which a fingerprint is held back
  * @apart_us: crashes of one fingerprint that lie closer together count as one
  * @link_us: a run that broke off and the end of its upstream belong together
@@ -45,7 +45,7 @@
  *   longest time that it is held back
  * @records_max: most fingerprints remembered
  */
-struct pgw_poison_options {
+struct pgw_crash_quarantine_options {
     uint32_t crashes;
     uint64_t apart_us;
     uint64_t link_us;
@@ -55,7 +55,7 @@
 };
 
 /* Crashes that a record remembers, those that are void included. */
-#define PGW_POISON_CRASHES_MAX 8
+#define PGW_CRASH_QUARANTINE_CRASHES_MAX 8
 
 /*
  * Three: with one more than two innocents that are sent again beside the
@@ -68,7 +68,7 @@
  * mistake is let through soon, and who is not costs a crash then. 4,096
  * records of some 200 bytes are below a megabyte.
  */
-#define PGW_POISON_OPTIONS_INIT                                               \
+#define PGW_CRASH_QUARANTINE_OPTIONS_INIT                                     \
     {                                                                         \
         .crashes = 3, .apart_us = G_USEC_PER_SEC / 2,                         \
         .link_us = 8 * (uint64_t)G_USEC_PER_SEC,                              \
@@ -76,54 +76,61 @@
         .keep_us = 600 * (uint64_t)G_USEC_PER_SEC, .records_max = 4096        \
     }
 
-struct pgw_poison;
+struct pgw_crash_quarantine;
 
-/** pgw_poison_new() - nothing is known */
-struct pgw_poison *pgw_poison_new(const struct pgw_poison_options *options);
-void pgw_poison_free(struct pgw_poison *poison);
+/** pgw_crash_quarantine_new() - nothing is known */
+struct pgw_crash_quarantine *
+pgw_crash_quarantine_new(const struct pgw_crash_quarantine_options *options);
+void pgw_crash_quarantine_free(struct pgw_crash_quarantine *poison);
 
 /**
- * pgw_poison_subscribe() - get what other entries have to know
+ * pgw_crash_quarantine_subscribe() - get what other entries have to know
  * @poison: the state
  * @on_crashed: gets @count items; NULL: nobody does
  * @context: handed to @on_crashed
  */
-void
-pgw_poison_subscribe(struct pgw_poison *poison,
-                     void (*on_crashed)(const struct pgw_crashed_run *crashed,
-                                        size_t count, void *context),
-                     void *context);
+void pgw_crash_quarantine_subscribe(
+    struct pgw_crash_quarantine *poison,
+    void (*on_crashed)(const struct pgw_crashed_run *crashed, size_t count,
+                       void *context),
+    void *context);
 
 /**
- * pgw_poison_broke() - a run ended with its connection
+ * pgw_crash_quarantine_add_interrupted() - a run ended with its connection
  * @poison: the state
  * @fingerprint: of the request
  * @upstream: incarnation that ran it
  * @now_us: monotonic time
  */
-void pgw_poison_broke(struct pgw_poison *poison,
-                      const struct pgw_fingerprint *fingerprint,
-                      const char *upstream, uint64_t now_us);
-
-/** pgw_poison_crashed() - an incarnation is gone without having left */
-void pgw_poison_crashed(struct pgw_poison *poison, const char *upstream,
-                        uint64_t now_us);
-
-/** pgw_poison_ended_well() - a run had its whole answer */
-void pgw_poison_ended_well(struct pgw_poison *poison,
-                           const struct pgw_fingerprint *fingerprint);
-
-/** pgw_poison_add() - count what another entry sent; passed on if it is new */
-void pgw_poison_add(struct pgw_poison *poison,
-                    const struct pgw_crashed_run *crashed, size_t count,
-                    uint64_t now_us);
-
-/** pgw_poison_holds() - the request would crash the next upstream, too */
-bool pgw_poison_holds(const struct pgw_poison *poison,
-                      const struct pgw_fingerprint *fingerprint,
-                      uint64_t now_us);
-
-/** pgw_poison_known() - all that counts, of &struct pgw_crashed_run */
-GArray *pgw_poison_known(const struct pgw_poison *poison, uint64_t now_us);
+void
+pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *poison,
+                                     const struct pgw_fingerprint *fingerprint,
+                                     const char *upstream, uint64_t now_us);
+
+/** pgw_crash_quarantine_add_crash() - an incarnation is gone without having
+ * left */
+void pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *poison,
+                                    const char *upstream, uint64_t now_us);
+
+/** pgw_crash_quarantine_clear() - a run had its whole answer */
+void pgw_crash_quarantine_clear(struct pgw_crash_quarantine *poison,
+                                const struct pgw_fingerprint *fingerprint);
+
+/** pgw_crash_quarantine_merge() - count what another entry sent; passed on if
+ * it is new */
+void pgw_crash_quarantine_merge(struct pgw_crash_quarantine *poison,
+                                const struct pgw_crashed_run *crashed,
+                                size_t count, uint64_t now_us);
+
+/** pgw_crash_quarantine_is_active() - the request would crash the next
+ * upstream, too */
+bool pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *poison,
+                                    const struct pgw_fingerprint *fingerprint,
+                                    uint64_t now_us);
+
+/** pgw_crash_quarantine_list() - all that counts, of &struct pgw_crashed_run
+ */
+GArray *pgw_crash_quarantine_list(const struct pgw_crash_quarantine *poison,
+                                  uint64_t now_us);
 
 #endif
--- a/src/gateway/crashed_runs.c
+++ b/src/gateway/crashed_runs.c
@@ -38,7 +38,7 @@
 }
 
 void
-pgw_crashed_runs_take(struct pgw_poison *poison,
+pgw_crashed_runs_take(struct pgw_crash_quarantine *poison,
                       const Pgw__CrashedRuns *message, uint64_t now_us)
 {
     for (size_t i = 0; i < message->n_runs; i++) {
@@ -55,6 +55,6 @@
         }
         memcpy(crashed.fingerprint.bytes, run->fingerprint.data,
                sizeof(crashed.fingerprint.bytes));
-        pgw_poison_add(poison, &crashed, 1, now_us);
+        pgw_crash_quarantine_merge(poison, &crashed, 1, now_us);
     }
 }
--- a/src/gateway/crashed_runs.h
+++ b/src/gateway/crashed_runs.h
@@ -1,7 +1,7 @@
 #ifndef PGW_GATEWAY_CRASHED_RUNS_H
 #define PGW_GATEWAY_CRASHED_RUNS_H
 
-#include "gateway/poison.h"
+#include "gateway/crash_quarantine.h"
 #include "libparsleygw/link.h"
 
 /** pgw_crashed_runs_send() - send to a peer; nothing is sent for @count 0 */
@@ -15,7 +15,7 @@
  * @message: what came; items that make no sense are logged and left out
  * @now_us: monotonic time
  */
-void pgw_crashed_runs_take(struct pgw_poison *poison,
+void pgw_crashed_runs_take(struct pgw_crash_quarantine *poison,
                            const Pgw__CrashedRuns *message, uint64_t now_us);
 
 #endif
--- a/src/gateway/lapse.c
+++ b/src/gateway/delisted.c
@@ -1,4 +1,4 @@
-#include "gateway/lapse.h"
+#include "gateway/delisted.h"
 #include "util/log.h"
 
 /* More than this share of all upstreams gone at once is the list's fault. */
@@ -12,7 +12,7 @@
 
     pgw_list_foreach (item, pgw_upstream_table_all(table)) {
         lapsed += pgw_container_of(item, struct pgw_upstream, in_table)
-                      ->lapsed_until_us > 0;
+                      ->delisted_until_us > 0;
         total++;
     }
     return (double)lapsed > (double)total * MANY_SHARE;
@@ -26,20 +26,21 @@
         struct pgw_upstream *upstream =
             pgw_container_of(item, struct pgw_upstream, in_table);
 
-        if (upstream->lapsed_until_us > 0) {
-            upstream->lapsed_until_us = MAX(upstream->lapsed_until_us,
-                                            upstream->lapsed_at_us + keep_us);
+        if (upstream->delisted_until_us > 0) {
+            upstream->delisted_until_us =
+                MAX(upstream->delisted_until_us,
+                    upstream->delisted_at_us + keep_us);
         }
     }
 }
 
 void
-pgw_lapse_drop(struct pgw_upstream_table *table, struct pgw_upstream *upstream,
-               bool in_trouble, const struct pgw_lapse_options *options,
-               uint64_t now_us)
+pgw_delisted_add(struct pgw_upstream_table *table,
+                 struct pgw_upstream *upstream, bool in_trouble,
+                 const struct pgw_delisted_options *options, uint64_t now_us)
 {
-    upstream->lapsed_at_us = now_us;
-    upstream->lapsed_until_us = now_us + options->usual_us;
+    upstream->delisted_at_us = now_us;
+    upstream->delisted_until_us = now_us + options->usual_us;
     if (in_trouble) {
         prolong_all(table, options->trouble_us);
     }
@@ -49,7 +50,7 @@
 }
 
 bool
-pgw_lapse_sweep(struct pgw_upstream_table *table, uint64_t now_us)
+pgw_delisted_sweep(struct pgw_upstream_table *table, uint64_t now_us)
 {
     bool any = false;
 
@@ -57,11 +58,11 @@
         struct pgw_upstream *upstream =
             pgw_container_of(item, struct pgw_upstream, in_table);
 
-        if (upstream->lapsed_until_us > 0 &&
-            now_us >= upstream->lapsed_until_us) {
+        if (upstream->delisted_until_us > 0 &&
+            now_us >= upstream->delisted_until_us) {
             pgw_log_info(
                 "upstream_removed", "upstream=%s since_ms=%" G_GUINT64_FORMAT,
-                upstream->id, (now_us - upstream->lapsed_at_us) / 1000);
+                upstream->id, (now_us - upstream->delisted_at_us) / 1000);
             pgw_upstream_table_remove(table, upstream);
             any = true;
         }
--- a/src/gateway/lapse.h
+++ b/src/gateway/delisted.h
@@ -1,5 +1,5 @@
-#ifndef PGW_GATEWAY_LAPSE_H
-#define PGW_GATEWAY_LAPSE_H
+#ifndef PGW_GATEWAY_DELISTED_H
+#define PGW_GATEWAY_DELISTED_H
 
 #include "gateway/upstream_table.h"
 
@@ -15,35 +15,36 @@
  */
 
 /**
- * struct pgw_lapse_options - for how long a vanished upstream is used
+ * struct pgw_delisted_options - for how long a vanished upstream is used
  * @usual_us: when it is the only one or one of a few
  * @many_us: when more than a quarter vanished: the list may be wrong
  * @trouble_us: when the store has just come back: living ones are in the list
  *   again within two seconds
  */
-struct pgw_lapse_options {
+struct pgw_delisted_options {
     uint64_t usual_us;
     uint64_t many_us;
     uint64_t trouble_us;
 };
 
 /**
- * pgw_lapse_drop() - an upstream is no longer in the list
+ * pgw_delisted_add() - an upstream is no longer in the list
  * @table: its table
  * @upstream: one that did not say that it leaves
  * @in_trouble: the store was away a moment ago
  * @options: times
  * @now_us: monotonic time
  */
-void pgw_lapse_drop(struct pgw_upstream_table *table,
-                    struct pgw_upstream *upstream, bool in_trouble,
-                    const struct pgw_lapse_options *options, uint64_t now_us);
+void pgw_delisted_add(struct pgw_upstream_table *table,
+                      struct pgw_upstream *upstream, bool in_trouble,
+                      const struct pgw_delisted_options *options,
+                      uint64_t now_us);
 
 /**
- * pgw_lapse_sweep() - remove those whose time is over
+ * pgw_delisted_sweep() - remove those whose time is over
  *
  * Return: whether there were any.
  */
-bool pgw_lapse_sweep(struct pgw_upstream_table *table, uint64_t now_us);
+bool pgw_delisted_sweep(struct pgw_upstream_table *table, uint64_t now_us);
 
 #endif
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -61,7 +61,7 @@
         exchange->queued_us += pgw_now_us() - exchange->queued_at_us;
         exchange->queued_at_us = 0;
     }
-    pgw_waiting_remove(&exchange->gateway->waiting, &exchange->waiting);
+    pgw_wait_queue_remove(&exchange->gateway->waiting, &exchange->waiting);
     pgw_metric_gauge_set(&waiting_now, exchange->gateway->waiting.count);
 }
 
@@ -143,7 +143,7 @@
         "first_ms=%" G_GUINT64_FORMAT " total_ms=%" G_GUINT64_FORMAT
         " events=%" G_GUINT64_FORMAT,
         exchange->facts.id, exchange->route->name, exchange->service,
-        pgw_exchange_rank(exchange, PGW_WAITING_RANKS),
+        pgw_exchange_rank(exchange, PGW_WAIT_QUEUE_RANKS),
         pgw_route_table_version(exchange->table), outcome, exchange->status,
         exchange->route->objective_ms,
         (exchange->deadline_us - exchange->received_us) / 1000, queued / 1000,
@@ -264,7 +264,7 @@
     struct pgw_gateway *gateway = exchange->gateway;
     const struct pgw_service *service =
         pgw_route_table_service(exchange->table, exchange->service);
-    const struct pgw_named_weights *named =
+    const struct pgw_target_weights *named =
         exchange->facts.model == NULL
             ? NULL
             : g_hash_table_lookup(gateway->weights, exchange->facts.model);
@@ -291,14 +291,14 @@
                                    : pgw_buffer_size(&exchange->caller->body));
     }
     if (named != NULL) {
-        input.newest_version = pgw_named_weights_newest(named);
-        input.version = pgw_named_weights_least(
+        input.newest_version = pgw_target_weights_newest(named);
+        input.version = pgw_target_weights_oldest_usable(
             named,
             pgw_policy_is_on(&gateway->options.policy, PGW_WEIGHTS_GRACE)
                 ? gateway->options.new_weights_us
                 : 0,
             input.now_us);
-        input.least_version = pgw_named_weights_least(
+        input.least_version = pgw_target_weights_oldest_usable(
             named, gateway->options.old_weights_us,
             input.now_us +
                 exchange->facts.prompt.tokens * OLD_WEIGHTS_TOKEN_US);
@@ -356,8 +356,8 @@
         exchange->phase = PGW_PHASE_WAITING;
     }
     exchange->queued_at_us = now;
-    pgw_waiting_add(&gateway->waiting, &exchange->waiting,
-                    pgw_exchange_rank(exchange, PGW_WAITING_RANKS));
+    pgw_wait_queue_add(&gateway->waiting, &exchange->waiting,
+                       pgw_exchange_rank(exchange, PGW_WAIT_QUEUE_RANKS));
     pgw_metric_gauge_set(&waiting_now, gateway->waiting.count);
     exchange->attempt_timer.on_due = wait_due;
     pgw_timer_start(gateway->loop, &exchange->attempt_timer,
@@ -473,7 +473,7 @@
      * that it runs. It is refused before it reaches one; that the entries tell
      * each other what crashed makes that so wherever it is sent.
      */
-    if (pgw_poison_holds(gateway->poison, &fingerprint, now)) {
+    if (pgw_crash_quarantine_is_active(gateway->poison, &fingerprint, now)) {
         pgw_metric_counter_add(&poisonous, 1);
         refuse_early(gateway, caller, facts.id, 503, "crashes_upstreams",
                      POISON_RETRY_MS);
@@ -484,7 +484,7 @@
     if (workspace != NULL && workspace->isolated) {
         exchange->facts.prompt.isolated_to = workspace->name;
     }
-    pgw_budgets_deposit(gateway->budgets, exchange->service);
+    pgw_retry_budgets_deposit(gateway->budgets, exchange->service);
     pgw_timer_start(gateway->loop, &exchange->timer,
                     exchange->deadline_us > now ? exchange->deadline_us - now
                                                 : 0);
--- a/src/gateway/engine_guard.c
+++ b/src/gateway/engine_sidecar.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_state.h"
+#include "gateway/engine_sidecar_internal.h"
 #include "util/log.h"
 #include "util/metric.h"
 #include <string.h>
@@ -6,36 +6,36 @@
 /* What an entry sends there is told to the others before the engine's own
  * report and events can say so. */
 static void
-take_expected(struct pgw_engine_guard *guard,
+take_expected(struct pgw_engine_sidecar *guard,
               const Pgw__ExpectedParts *message)
 {
     if (message->to_read == 0 && message->n_parts == 0) {
-        pgw_announced_end(&guard->announced, message->request);
+        pgw_announced_prompts_end(&guard->announced, message->request);
         return;
     }
     guard->arrivals.requests++;
     if (message->to_read >= PGW_LONG_PREFILL) {
-        pgw_announced_add(&guard->announced, message->request,
-                          message->to_read, pgw_now_us());
+        pgw_announced_prompts_add(&guard->announced, message->request,
+                                  message->to_read, pgw_now_us());
     }
     guard->arrivals.memory += message->memory;
     for (size_t i = 0; i < message->n_parts; i++) {
-        pgw_held_parts_expect(&guard->parts, message->parts[i]->key,
-                              message->parts[i]->tokens, pgw_now_us());
+        pgw_cached_parts_expect(&guard->parts, message->parts[i]->key,
+                                message->parts[i]->tokens, pgw_now_us());
     }
-    if (guard->alive && pgw_guard_is_news(guard)) {
-        pgw_guard_tell_all(guard, false);
+    if (guard->alive && pgw_engine_sidecar_has_reportable_change(guard)) {
+        pgw_engine_sidecar_report_to_all(guard, false);
     }
 }
 
 static void
-take_hello(struct pgw_guard_entry *peer, const Pgw__Hello *hello)
+take_hello(struct pgw_connected_entry *peer, const Pgw__Hello *hello)
 {
     peer->far = strcmp(hello->zone, peer->guard->zone) != 0;
     peer->on_request = hello->on_request;
     peer->started_us = pgw_now_us() - hello->age_ms * 1000ULL;
     if (peer->guard->alive && !peer->on_request) {
-        pgw_guard_send_state(peer->guard, peer);
+        pgw_engine_sidecar_send_full_state(peer->guard, peer);
     }
 }
 
@@ -43,7 +43,7 @@
 on_frame(struct pgw_link *link, enum pgw_frame_type type,
          ProtobufCMessage *message, void *context)
 {
-    struct pgw_guard_entry *peer = context;
+    struct pgw_connected_entry *peer = context;
 
     (void)link;
     if (type == PGW_FRAME_HELLO) {
@@ -52,19 +52,20 @@
     else if (type == PGW_FRAME_LOAD_WEIGHTS) {
         const Pgw__LoadWeights *load = (const Pgw__LoadWeights *)message;
 
-        pgw_engine_guard_name_weights(peer->guard, load->model, load->version,
-                                      load->start_in_ms * 1000ULL,
-                                      load->instance);
+        pgw_engine_sidecar_set_target_weights(
+            peer->guard, load->model, load->version,
+            load->start_in_ms * 1000ULL, load->instance);
     }
     else if (type == PGW_FRAME_EXPECTED_PARTS) {
         take_expected(peer->guard, (const Pgw__ExpectedParts *)message);
     }
     else if (type == PGW_FRAME_ENGINE_PROBE) {
-        pgw_guard_answer_probe(peer->guard, peer,
-                               (const Pgw__EngineProbe *)message);
+        pgw_engine_sidecar_answer_probe(peer->guard, peer,
+                                        (const Pgw__EngineProbe *)message);
     }
     else if (type == PGW_FRAME_QUOTA_ASK) {
-        pgw_guard_take_quota_ask(peer, (const Pgw__QuotaAsk *)message);
+        pgw_engine_sidecar_take_quota_ask(peer,
+                                          (const Pgw__QuotaAsk *)message);
     }
     return false;
 }
@@ -72,7 +73,7 @@
 static void
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
-    struct pgw_guard_entry *peer = context;
+    struct pgw_connected_entry *peer = context;
 
     (void)link;
     pgw_log_info("entry_lost", "reason=%s",
@@ -89,8 +90,8 @@
 static void
 on_accept(int fd, void *context)
 {
-    struct pgw_engine_guard *guard = context;
-    struct pgw_guard_entry *peer = g_new0(struct pgw_guard_entry, 1);
+    struct pgw_engine_sidecar *guard = context;
+    struct pgw_connected_entry *peer = g_new0(struct pgw_connected_entry, 1);
     GError *error = NULL;
 
     peer->guard = guard;
@@ -104,17 +105,17 @@
     pgw_list_append(&guard->entries, &peer->in_guard);
 }
 
-struct pgw_engine_guard *
-pgw_engine_guard_new(struct pgw_loop *loop,
-                     const struct pgw_engine_guard_options *options,
-                     GError **error)
+struct pgw_engine_sidecar *
+pgw_engine_sidecar_new(struct pgw_loop *loop,
+                       const struct pgw_engine_sidecar_options *options,
+                       GError **error)
 {
-    struct pgw_engine_guard *guard = g_new0(struct pgw_engine_guard, 1);
+    struct pgw_engine_sidecar *guard = g_new0(struct pgw_engine_sidecar, 1);
     struct pgw_call_pool_options pool = PGW_CALL_POOL_OPTIONS_INIT;
 
-    pgw_guard_register_order_metrics();
-    pgw_guard_register_ask_metrics();
-    pgw_guard_register_quota_metrics();
+    pgw_engine_sidecar_register_order_metrics();
+    pgw_engine_sidecar_register_poll_metrics();
+    pgw_engine_sidecar_register_quota_metrics();
     guard->loop = loop;
     guard->options = *options;
     pgw_list_init(&guard->entries);
@@ -132,27 +133,27 @@
     guard->pool = pgw_call_pool_new(loop, &pool);
     guard->report_body = g_string_new(NULL);
     guard->events_body = g_string_new(NULL);
-    pgw_held_parts_init(&guard->parts);
-    pgw_announced_init(&guard->announced);
+    pgw_cached_parts_init(&guard->parts);
+    pgw_announced_prompts_init(&guard->announced);
     guard->quotas = pgw_quota_buckets_new(&options->quotas);
-    guard->events_timer.on_due = pgw_guard_events_due;
+    guard->events_timer.on_due = pgw_engine_sidecar_events_due;
     if (guard->listener != NULL) {
         pgw_timer_start(loop, &guard->events_timer, 0);
     }
-    guard->report_timer.on_due = pgw_guard_report_due;
-    guard->step_timer.on_due = pgw_guard_step_due;
+    guard->report_timer.on_due = pgw_engine_sidecar_report_due;
+    guard->step_timer.on_due = pgw_engine_sidecar_step_due;
     pgw_timer_start(loop, &guard->report_timer, 0);
     return guard;
 }
 
 uint16_t
-pgw_engine_guard_port(const struct pgw_engine_guard *guard)
+pgw_engine_sidecar_port(const struct pgw_engine_sidecar *guard)
 {
     return pgw_listener_port(guard->listener);
 }
 
 unsigned
-pgw_engine_guard_entries(const struct pgw_engine_guard *guard)
+pgw_engine_sidecar_entries(const struct pgw_engine_sidecar *guard)
 {
     unsigned count = 0;
 
@@ -163,20 +164,20 @@
 }
 
 void
-pgw_engine_guard_free(struct pgw_engine_guard *guard)
+pgw_engine_sidecar_free(struct pgw_engine_sidecar *guard)
 {
     pgw_call_cancel(&guard->report_call);
     pgw_call_cancel(&guard->order_call);
     pgw_call_cancel(&guard->events_call);
     pgw_timer_stop(guard->loop, &guard->events_timer);
-    pgw_held_parts_dispose(&guard->parts);
-    pgw_announced_dispose(&guard->announced);
+    pgw_cached_parts_dispose(&guard->parts);
+    pgw_announced_prompts_dispose(&guard->announced);
     pgw_quota_buckets_free(guard->quotas);
     g_string_free(guard->events_body, TRUE);
     if (!pgw_list_is_empty(&guard->entries)) {
         pgw_list_foreach_safe (link, &guard->entries) {
             pgw_link_close(
-                pgw_container_of(link, struct pgw_guard_entry, in_guard)
+                pgw_container_of(link, struct pgw_connected_entry, in_guard)
                     ->link);
         }
         pgw_loop_run_tasks(guard->loop);
@@ -189,8 +190,8 @@
         g_free(guard->models[i].model);
         g_free(guard->models[i].instance);
     }
-    pgw_guard_report_clear(&guard->report);
-    pgw_guard_report_clear(&guard->told);
+    pgw_engine_report_clear(&guard->report);
+    pgw_engine_report_clear(&guard->told);
     g_string_free(guard->report_body, TRUE);
     g_free(guard->instance);
     g_free(guard->zone);
--- a/src/gateway/engine_guard.h
+++ b/src/gateway/engine_sidecar.h
@@ -1,9 +1,9 @@
-#ifndef PGW_GATEWAY_ENGINE_GUARD_H
-#define PGW_GATEWAY_ENGINE_GUARD_H
+#ifndef PGW_GATEWAY_ENGINE_SIDECAR_H
+#define PGW_GATEWAY_ENGINE_SIDECAR_H
 
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
+#include "gateway/cached_parts.h"
 #include "gateway/call.h"
-#include "gateway/held_parts.h"
 #include "gateway/policy.h"
 #include "gateway/quota_bucket.h"
 #include "gateway/upstream_table.h"
@@ -82,10 +82,10 @@
                         size_t size);
 };
 
-struct pgw_engine_guard;
+struct pgw_engine_sidecar;
 
 /**
- * struct pgw_engine_guard_options - settings
+ * struct pgw_engine_sidecar_options - settings
  * @instance: name of this process
  * @zone: its availability zone
  * @engine: address of the engine
@@ -94,13 +94,13 @@
  * @codec: how the engine is spoken to
  * @policy: mechanisms that are switched off
  * @get_token: ask for a new fencing token above all before; the answer comes
- *   through pgw_engine_guard_take_token()
+ *   through pgw_engine_sidecar_take_token()
  * @quotas: how buckets of workspaces start
  * @report_lag_us: how old the engine's reports may be, 0 on its own machine
  * @may_order: asked right before each order; NULL: always
  * @context: handed to @get_token and @may_order
  */
-struct pgw_engine_guard_options {
+struct pgw_engine_sidecar_options {
     const char *instance;
     const char *zone;
     struct pgw_address engine;
@@ -114,27 +114,29 @@
     void *context;
 };
 
-/** pgw_engine_guard_new() - listen and begin; %PGW_ERROR_IO */
-struct pgw_engine_guard *
-pgw_engine_guard_new(struct pgw_loop *loop,
-                     const struct pgw_engine_guard_options *options,
-                     GError **error);
-void pgw_engine_guard_free(struct pgw_engine_guard *guard);
+/** pgw_engine_sidecar_new() - listen and begin; %PGW_ERROR_IO */
+struct pgw_engine_sidecar *
+pgw_engine_sidecar_new(struct pgw_loop *loop,
+                       const struct pgw_engine_sidecar_options *options,
+                       GError **error);
+void pgw_engine_sidecar_free(struct pgw_engine_sidecar *guard);
 
-/** pgw_engine_guard_take_token() - a fencing token; 0: none can be had now */
-void pgw_engine_guard_take_token(struct pgw_engine_guard *guard,
-                                 uint64_t token);
+/** pgw_engine_sidecar_take_token() - a fencing token; 0: none can be had now
+ */
+void pgw_engine_sidecar_take_token(struct pgw_engine_sidecar *guard,
+                                   uint64_t token);
 
-/** pgw_engine_guard_port() - where entries connect */
-uint16_t pgw_engine_guard_port(const struct pgw_engine_guard *guard);
+/** pgw_engine_sidecar_port() - where entries connect */
+uint16_t pgw_engine_sidecar_port(const struct pgw_engine_sidecar *guard);
 
-/** pgw_engine_guard_entries() - entries that are connected */
-unsigned pgw_engine_guard_entries(const struct pgw_engine_guard *guard);
+/** pgw_engine_sidecar_entries() - entries that are connected */
+unsigned pgw_engine_sidecar_entries(const struct pgw_engine_sidecar *guard);
 
-/** pgw_engine_guard_name_weights() - weights that the engine is to run, and in
- * how many microseconds to begin at the latest */
-void pgw_engine_guard_name_weights(struct pgw_engine_guard *guard,
-                                   const char *name, uint64_t version,
-                                   uint64_t start_in_us, const char *instance);
+/** pgw_engine_sidecar_set_target_weights() - weights that the engine is to
+ * run, and in how many microseconds to begin at the latest */
+void pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *guard,
+                                           const char *name, uint64_t version,
+                                           uint64_t start_in_us,
+                                           const char *instance);
 
 #endif
--- a/src/gateway/guard_order.c
+++ b/src/gateway/engine_sidecar_orders.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_state.h"
+#include "gateway/engine_sidecar_internal.h"
 #include "util/log.h"
 #include "util/metric.h"
 #include <string.h>
@@ -32,10 +32,10 @@
     }
 }
 
-static struct pgw_engine_guard *
+static struct pgw_engine_sidecar *
 of_order(struct pgw_call *call)
 {
-    return pgw_container_of(call, struct pgw_engine_guard, order_call);
+    return pgw_container_of(call, struct pgw_engine_sidecar, order_call);
 }
 
 static const char *const answer_names[] = {
@@ -45,9 +45,9 @@
 };
 
 static void
-order_settled(struct pgw_engine_guard *guard, enum pgw_order_answer answer)
+order_settled(struct pgw_engine_sidecar *guard, enum pgw_order_answer answer)
 {
-    struct pgw_guard_model *model = guard->ordering;
+    struct pgw_sidecar_model *model = guard->ordering;
 
     guard->ordering = NULL;
     if (model != NULL) {
@@ -59,8 +59,8 @@
                      model->order.token);
         pgw_weights_order_answer(&model->order, answer, pgw_now_us());
     }
-    pgw_guard_ask_report(guard);
-    pgw_guard_step(guard);
+    pgw_engine_sidecar_poll_now(guard);
+    pgw_engine_sidecar_step_orders(guard);
 }
 
 static bool
@@ -81,7 +81,7 @@
 static void
 order_done(struct pgw_call *call)
 {
-    struct pgw_engine_guard *guard = of_order(call);
+    struct pgw_engine_sidecar *guard = of_order(call);
 
     order_settled(guard, answer_of(guard->order_status));
 }
@@ -89,7 +89,7 @@
 static void
 order_lost(struct pgw_call *call, enum pgw_call_failure why)
 {
-    struct pgw_engine_guard *guard = of_order(call);
+    struct pgw_engine_sidecar *guard = of_order(call);
 
     guard->order_status = 0;
     /* What was never sent is refused, not lost. */
@@ -106,7 +106,7 @@
 };
 
 static void
-give_order(struct pgw_engine_guard *guard, struct pgw_guard_model *model)
+give_order(struct pgw_engine_sidecar *guard, struct pgw_sidecar_model *model)
 {
     struct pgw_engine_order order = {
         .model = model->model,
@@ -146,7 +146,7 @@
 }
 
 static bool
-may_order(const struct pgw_engine_guard *guard)
+may_order(const struct pgw_engine_sidecar *guard)
 {
     return guard->options.may_order == NULL ||
            guard->options.may_order(guard->options.context);
@@ -154,7 +154,7 @@
 
 /* Returns when to look again, 0: on news only. */
 static uint64_t
-step_model(struct pgw_engine_guard *guard, struct pgw_guard_model *model)
+step_model(struct pgw_engine_sidecar *guard, struct pgw_sidecar_model *model)
 {
     for (;;) {
         switch (pgw_weights_order_step(&model->order, pgw_now_us())) {
@@ -165,7 +165,7 @@
             break;
         case PGW_WEIGHTS_ANNOUNCE:
         case PGW_WEIGHTS_OPEN:
-            pgw_guard_tell_all(guard, true);
+            pgw_engine_sidecar_report_to_all(guard, true);
             break;
         case PGW_WEIGHTS_ORDER:
             /* One order at a time; nothing is known of an engine that does
@@ -181,7 +181,7 @@
 }
 
 void
-pgw_guard_step(struct pgw_engine_guard *guard)
+pgw_engine_sidecar_step_orders(struct pgw_engine_sidecar *guard)
 {
     uint64_t now = pgw_now_us();
     uint64_t next = 0;
@@ -200,17 +200,17 @@
 }
 
 void
-pgw_guard_step_due(struct pgw_timer *timer)
+pgw_engine_sidecar_step_due(struct pgw_timer *timer)
 {
-    pgw_guard_step(
-        pgw_container_of(timer, struct pgw_engine_guard, step_timer));
+    pgw_engine_sidecar_step_orders(
+        pgw_container_of(timer, struct pgw_engine_sidecar, step_timer));
 }
 
-static struct pgw_guard_model *
-model_get(struct pgw_engine_guard *guard, const char *name)
+static struct pgw_sidecar_model *
+model_get(struct pgw_engine_sidecar *guard, const char *name)
 {
     struct pgw_weights_order_options options = PGW_WEIGHTS_ORDER_OPTIONS_INIT;
-    struct pgw_guard_model *model;
+    struct pgw_sidecar_model *model;
 
     for (size_t i = 0; i < guard->model_count; i++) {
         if (strcmp(guard->models[i].model, name) == 0) {
@@ -228,13 +228,13 @@
         options.drain_us = 0;
     }
     pgw_weights_order_init(&model->order, &options);
-    model->order.running = pgw_guard_version_of(&guard->report, name);
+    model->order.running = pgw_engine_report_version(&guard->report, name);
     return model;
 }
 
 static void
-log_wanted(const struct pgw_engine_guard *guard,
-           const struct pgw_guard_model *model)
+log_wanted(const struct pgw_engine_sidecar *guard,
+           const struct pgw_sidecar_model *model)
 {
     uint64_t now = pgw_now_us();
     uint64_t due = model->order.due_us;
@@ -247,11 +247,12 @@
 }
 
 void
-pgw_engine_guard_name_weights(struct pgw_engine_guard *guard, const char *name,
-                              uint64_t version, uint64_t start_in_us,
-                              const char *instance)
+pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *guard,
+                                      const char *name, uint64_t version,
+                                      uint64_t start_in_us,
+                                      const char *instance)
 {
-    struct pgw_guard_model *model = model_get(guard, name);
+    struct pgw_sidecar_model *model = model_get(guard, name);
     bool is_new;
 
     if (model == NULL) {
@@ -266,20 +267,20 @@
     if (is_new) {
         log_wanted(guard, model);
     }
-    pgw_guard_step(guard);
+    pgw_engine_sidecar_step_orders(guard);
 }
 
 void
-pgw_engine_guard_take_token(struct pgw_engine_guard *guard, uint64_t token)
+pgw_engine_sidecar_take_token(struct pgw_engine_sidecar *guard, uint64_t token)
 {
     for (size_t i = 0; i < guard->model_count; i++) {
         pgw_weights_order_token(&guard->models[i].order, token, pgw_now_us());
     }
-    pgw_guard_step(guard);
+    pgw_engine_sidecar_step_orders(guard);
 }
 
 void
-pgw_guard_register_order_metrics(void)
+pgw_engine_sidecar_register_order_metrics(void)
 {
     pgw_metric_register_counter(&orders_given);
 }
--- a/src/gateway/guard_ask.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_state.h"
+#include "gateway/engine_sidecar_internal.h"
 #include "util/log.h"
 #include "util/metric.h"
 #include <string.h>
@@ -23,28 +23,29 @@
 };
 
 static void
-start_report_timer(struct pgw_engine_guard *guard)
+start_report_timer(struct pgw_engine_sidecar *guard)
 {
     pgw_timer_start(guard->loop, &guard->report_timer,
-                    pgw_guard_is_loading(guard) ? REPORT_LOADING_US
-                                                : REPORT_US);
+                    pgw_engine_sidecar_is_loading(guard) ? REPORT_LOADING_US
+                                                         : REPORT_US);
 }
 
 static void
-report_failed(struct pgw_engine_guard *guard)
+report_failed(struct pgw_engine_sidecar *guard)
 {
     pgw_metric_counter_add(&reports_failed, 1);
     guard->failures++;
     if (guard->failures == DEAD_AFTER) {
         guard->alive = false;
         pgw_log_warning("engine_lost", "engine=%s", guard->engine);
-        pgw_guard_tell_all(guard, true);
+        pgw_engine_sidecar_report_to_all(guard, true);
     }
     start_report_timer(guard);
 }
 
 uint64_t
-pgw_guard_version_of(const struct pgw_engine_report *report, const char *model)
+pgw_engine_report_version(const struct pgw_engine_report *report,
+                          const char *model)
 {
     for (size_t i = 0; i < report->model_count; i++) {
         if (strcmp(report->models[i].model, model) == 0) {
@@ -55,7 +56,7 @@
 }
 
 static void
-take_report(struct pgw_engine_guard *guard)
+take_report(struct pgw_engine_sidecar *guard)
 {
     uint64_t now = pgw_now_us();
 
@@ -64,18 +65,19 @@
     }
     guard->alive = true;
     guard->failures = 0;
-    guard->arrivals_before = (struct pgw_guard_arrivals){0};
-    pgw_announced_report(&guard->announced,
-                         &(struct pgw_engine_work){
-                             .runs = guard->report.runs,
-                             .run_count = guard->report.run_count,
-                             .reading = guard->report.reading,
-                             .waiting = guard->report.load.waiting,
-                         },
-                         now);
+    guard->arrivals_before = (struct pgw_announced_arrivals){0};
+    pgw_announced_prompts_report(&guard->announced,
+                                 &(struct pgw_engine_work){
+                                     .runs = guard->report.runs,
+                                     .run_count = guard->report.run_count,
+                                     .reading = guard->report.reading,
+                                     .waiting = guard->report.load.waiting,
+                                 },
+                                 now);
     for (size_t i = 0; i < guard->model_count; i++) {
-        struct pgw_guard_model *model = &guard->models[i];
-        uint64_t version = pgw_guard_version_of(&guard->report, model->model);
+        struct pgw_sidecar_model *model = &guard->models[i];
+        uint64_t version =
+            pgw_engine_report_version(&guard->report, model->model);
 
         if (version != model->order.running) {
             pgw_log_info("weights_running",
@@ -87,12 +89,12 @@
         pgw_weights_order_report(&model->order, version, guard->report.busy,
                                  guard->report.load.waiting, now);
     }
-    pgw_guard_step(guard);
-    if (pgw_guard_is_urgent(guard)) {
-        pgw_guard_tell_all(guard, true);
+    pgw_engine_sidecar_step_orders(guard);
+    if (pgw_engine_sidecar_has_urgent_change(guard)) {
+        pgw_engine_sidecar_report_to_all(guard, true);
     }
-    else if (pgw_guard_is_news(guard)) {
-        pgw_guard_tell_all(guard, false);
+    else if (pgw_engine_sidecar_has_reportable_change(guard)) {
+        pgw_engine_sidecar_report_to_all(guard, false);
     }
     start_report_timer(guard);
 }
@@ -105,7 +107,7 @@
  * for cache events that is still under way would be the former's.
  */
 static void
-note_start(struct pgw_engine_guard *guard, uint64_t started_ms)
+note_start(struct pgw_engine_sidecar *guard, uint64_t started_ms)
 {
     if (guard->report.started_ms == 0 || started_ms == 0 ||
         guard->report.started_ms == started_ms) {
@@ -119,8 +121,8 @@
     for (size_t i = 0; i < guard->model_count; i++) {
         pgw_weights_order_restarted(&guard->models[i].order);
     }
-    pgw_held_parts_clear(&guard->parts);
-    pgw_announced_clear(&guard->announced);
+    pgw_cached_parts_clear(&guard->parts);
+    pgw_announced_prompts_clear(&guard->announced);
     if (pgw_call_is_running(&guard->events_call)) {
         pgw_call_cancel(&guard->events_call);
         pgw_timer_start(guard->loop, &guard->events_timer, 0);
@@ -128,16 +130,16 @@
 #endif
 }
 
-static struct pgw_engine_guard *
+static struct pgw_engine_sidecar *
 of_report(struct pgw_call *call)
 {
-    return pgw_container_of(call, struct pgw_engine_guard, report_call);
+    return pgw_container_of(call, struct pgw_engine_sidecar, report_call);
 }
 
 static bool
 report_head(struct pgw_call *call, const struct pgw_http_head *head)
 {
-    struct pgw_engine_guard *guard = of_report(call);
+    struct pgw_engine_sidecar *guard = of_report(call);
 
     guard->report_status = head->status;
     g_string_truncate(guard->report_body, 0);
@@ -153,7 +155,7 @@
 static void
 report_done(struct pgw_call *call)
 {
-    struct pgw_engine_guard *guard = of_report(call);
+    struct pgw_engine_sidecar *guard = of_report(call);
     struct pgw_engine_report report = {0};
 
     if (guard->report_status != 200 ||
@@ -163,7 +165,7 @@
         return;
     }
     note_start(guard, report.started_ms);
-    pgw_guard_report_clear(&guard->report);
+    pgw_engine_report_clear(&guard->report);
     guard->report = report;
     take_report(guard);
 }
@@ -183,10 +185,10 @@
 };
 
 void
-pgw_guard_report_due(struct pgw_timer *timer)
+pgw_engine_sidecar_report_due(struct pgw_timer *timer)
 {
-    struct pgw_engine_guard *guard =
-        pgw_container_of(timer, struct pgw_engine_guard, report_timer);
+    struct pgw_engine_sidecar *guard =
+        pgw_container_of(timer, struct pgw_engine_sidecar, report_timer);
     GString *bytes = g_string_new(NULL);
     struct pgw_call_options options = {
         .address = &guard->options.engine,
@@ -194,7 +196,7 @@
     };
 
     guard->arrivals_before = guard->arrivals;
-    guard->arrivals = (struct pgw_guard_arrivals){0};
+    guard->arrivals = (struct pgw_announced_arrivals){0};
     guard->options.codec->write_report(bytes);
     options.bytes = bytes->str;
     options.size = bytes->len;
@@ -207,23 +209,23 @@
 
 /* A report at once: something is about to have changed. */
 void
-pgw_guard_ask_report(struct pgw_engine_guard *guard)
+pgw_engine_sidecar_poll_now(struct pgw_engine_sidecar *guard)
 {
     if (!pgw_call_is_running(&guard->report_call)) {
         pgw_timer_start(guard->loop, &guard->report_timer, 0);
     }
 }
 
-static struct pgw_engine_guard *
+static struct pgw_engine_sidecar *
 of_events(struct pgw_call *call)
 {
-    return pgw_container_of(call, struct pgw_engine_guard, events_call);
+    return pgw_container_of(call, struct pgw_engine_sidecar, events_call);
 }
 
 static bool
 events_head(struct pgw_call *call, const struct pgw_http_head *head)
 {
-    struct pgw_engine_guard *guard = of_events(call);
+    struct pgw_engine_sidecar *guard = of_events(call);
 
     guard->events_status = head->status;
     g_string_truncate(guard->events_body, 0);
@@ -238,7 +240,7 @@
 
 /* The reports have not told of its start yet, or no longer tell of it. */
 static bool
-is_of_other_process(const struct pgw_engine_guard *guard,
+is_of_other_process(const struct pgw_engine_sidecar *guard,
                     const struct pgw_cache_events *events)
 {
     return events->started_ms != 0 && guard->report.started_ms != 0 &&
@@ -248,7 +250,7 @@
 static void
 events_done(struct pgw_call *call)
 {
-    struct pgw_engine_guard *guard = of_events(call);
+    struct pgw_engine_sidecar *guard = of_events(call);
     struct pgw_cache_events events = {0};
 
     if (guard->events_status != 200 ||
@@ -259,14 +261,14 @@
     }
     if (is_of_other_process(guard, &events)) {
         g_free(events.events);
-        pgw_guard_ask_report(guard);
+        pgw_engine_sidecar_poll_now(guard);
         pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
         return;
     }
-    pgw_held_parts_take(&guard->parts, &events);
+    pgw_cached_parts_apply_events(&guard->parts, &events);
     g_free(events.events);
-    if (pgw_held_parts_is_news(&guard->parts, false)) {
-        pgw_guard_tell_all(guard, false);
+    if (pgw_cached_parts_has_changes(&guard->parts, false)) {
+        pgw_engine_sidecar_report_to_all(guard, false);
     }
     pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_PAUSE_US);
 }
@@ -274,7 +276,7 @@
 static void
 events_lost(struct pgw_call *call, enum pgw_call_failure why)
 {
-    struct pgw_engine_guard *guard = of_events(call);
+    struct pgw_engine_sidecar *guard = of_events(call);
 
     (void)why;
     pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
@@ -288,10 +290,10 @@
 };
 
 void
-pgw_guard_events_due(struct pgw_timer *timer)
+pgw_engine_sidecar_events_due(struct pgw_timer *timer)
 {
-    struct pgw_engine_guard *guard =
-        pgw_container_of(timer, struct pgw_engine_guard, events_timer);
+    struct pgw_engine_sidecar *guard =
+        pgw_container_of(timer, struct pgw_engine_sidecar, events_timer);
     GString *bytes = g_string_new(NULL);
     struct pgw_call_options options = {
         .address = &guard->options.engine,
@@ -310,7 +312,7 @@
 }
 
 void
-pgw_guard_register_ask_metrics(void)
+pgw_engine_sidecar_register_poll_metrics(void)
 {
     pgw_metric_register_counter(&reports_failed);
 }
--- a/src/gateway/guard_quota.c
+++ b/src/gateway/engine_sidecar_quota.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_state.h"
+#include "gateway/engine_sidecar_internal.h"
 #include "util/metric.h"
 
 /* An entry that asked for another owner's quota so lately cannot reach that
@@ -18,7 +18,7 @@
 };
 
 void
-pgw_guard_register_quota_metrics(void)
+pgw_engine_sidecar_register_quota_metrics(void)
 {
     pgw_metric_register_counter(&asks);
     pgw_metric_register_counter(&refused);
@@ -27,15 +27,15 @@
 /* The part of all entries that cannot reach the owner: what the others spend
  * is granted by that one. */
 static double
-stand_in_share(struct pgw_guard_entry *peer, uint64_t now_us)
+stand_in_share(struct pgw_connected_entry *peer, uint64_t now_us)
 {
     unsigned entries = 0;
     unsigned count = 0;
 
     peer->stood_in_at_us = now_us;
     pgw_list_foreach (link, &peer->guard->entries) {
-        const struct pgw_guard_entry *entry =
-            pgw_container_of(link, struct pgw_guard_entry, in_guard);
+        const struct pgw_connected_entry *entry =
+            pgw_container_of(link, struct pgw_connected_entry, in_guard);
 
         entries++;
         count += entry->stood_in_at_us > 0 &&
@@ -47,14 +47,14 @@
 /* Most entries have started with this process: the whole deployment has, and
  * nobody else can be granting what this one grants. */
 static bool
-has_restarted(const struct pgw_engine_guard *guard, uint64_t now_us)
+has_restarted(const struct pgw_engine_sidecar *guard, uint64_t now_us)
 {
     unsigned entries = 0;
     unsigned young = 0;
 
     pgw_list_foreach (link, &guard->entries) {
-        const struct pgw_guard_entry *entry =
-            pgw_container_of(link, struct pgw_guard_entry, in_guard);
+        const struct pgw_connected_entry *entry =
+            pgw_container_of(link, struct pgw_connected_entry, in_guard);
 
         entries++;
         young +=
@@ -64,8 +64,8 @@
 }
 
 void
-pgw_guard_take_quota_ask(struct pgw_guard_entry *peer,
-                         const Pgw__QuotaAsk *ask)
+pgw_engine_sidecar_take_quota_ask(struct pgw_connected_entry *peer,
+                                  const Pgw__QuotaAsk *ask)
 {
     Pgw__QuotaAnswer message = PGW__QUOTA_ANSWER__INIT;
     uint64_t now = pgw_now_us();
--- a/src/gateway/guard_tell.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_state.h"
+#include "gateway/engine_sidecar_internal.h"
 #include "util/log.h"
 #include "util/metric.h"
 #include <string.h>
@@ -10,7 +10,7 @@
  * themselves does not drift. */
 #define PUSH_MAX_US 1000000
 void
-pgw_guard_report_clear(struct pgw_engine_report *report)
+pgw_engine_report_clear(struct pgw_engine_report *report)
 {
     for (size_t i = 0; i < report->model_count; i++) {
         g_free(report->models[i].model);
@@ -23,7 +23,7 @@
 report_copy(struct pgw_engine_report *out,
             const struct pgw_engine_report *from)
 {
-    pgw_guard_report_clear(out);
+    pgw_engine_report_clear(out);
     *out = *from;
     out->runs = NULL;
     out->run_count = 0;
@@ -33,7 +33,7 @@
 }
 
 bool
-pgw_guard_is_loading(const struct pgw_engine_guard *guard)
+pgw_engine_sidecar_is_loading(const struct pgw_engine_sidecar *guard)
 {
     for (size_t i = 0; i < guard->model_count; i++) {
         if (guard->models[i].order.announced) {
@@ -52,8 +52,8 @@
     state->n_part_keys = words->len;
     state->n_part_words = words->len;
     for (unsigned i = 0; i < words->len; i++) {
-        const struct pgw_told_part *word =
-            &g_array_index(words, struct pgw_told_part, i);
+        const struct pgw_part_update *word =
+            &g_array_index(words, struct pgw_part_update, i);
 
         state->part_keys[i] = word->key;
         state->part_words[i] = word->tokens * 2 + word->expected;
@@ -73,10 +73,10 @@
  * counts as being there.
  */
 static struct pgw_upstream_load
-current_load(const struct pgw_engine_guard *guard)
+current_load(const struct pgw_engine_sidecar *guard)
 {
     struct pgw_upstream_load load = guard->report.load;
-    struct pgw_unread unread = pgw_announced_unread(&guard->announced);
+    struct pgw_unread unread = pgw_announced_prompts_unread(&guard->announced);
 
     load.running += guard->arrivals.requests + guard->arrivals_before.requests;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -100,7 +100,7 @@
 };
 
 static void
-fill_identity(Pgw__EngineState *state, const struct pgw_engine_guard *guard,
+fill_identity(Pgw__EngineState *state, const struct pgw_engine_sidecar *guard,
               Pgw__EngineModel *models, Pgw__EngineModel **pointers)
 {
     for (size_t i = 0; i < guard->report.model_count; i++) {
@@ -116,8 +116,8 @@
 }
 
 static void
-send_state(const struct pgw_engine_guard *guard, struct pgw_guard_entry *peer,
-           const struct report *report)
+send_state(const struct pgw_engine_sidecar *guard,
+           struct pgw_connected_entry *peer, const struct report *report)
 {
     struct pgw_upstream_load load = current_load(guard);
     Pgw__EngineState state = PGW__ENGINE_STATE__INIT;
@@ -128,11 +128,11 @@
         fill_identity(&state, guard, models, pointers);
     }
     state.alive = guard->alive;
-    state.loading = pgw_guard_is_loading(guard);
+    state.loading = pgw_engine_sidecar_is_loading(guard);
     state.running = load.running;
     state.waiting = load.waiting;
     state.long_prefills = load.long_prefills;
-    state.entries = pgw_engine_guard_entries(guard);
+    state.entries = pgw_engine_sidecar_entries(guard);
     state.unread = load.unread;
     state.kv_used = load.kv_used;
     state.kv_total = load.kv_total;
@@ -144,10 +144,10 @@
 }
 
 void
-pgw_guard_send_state(const struct pgw_engine_guard *guard,
-                     struct pgw_guard_entry *peer)
+pgw_engine_sidecar_send_full_state(const struct pgw_engine_sidecar *guard,
+                                   struct pgw_connected_entry *peer)
 {
-    GArray *all = pgw_held_parts_all(&guard->parts, peer->far);
+    GArray *all = pgw_cached_parts_all(&guard->parts, peer->far);
 
     send_state(
         guard, peer,
@@ -157,16 +157,16 @@
 }
 
 void
-pgw_guard_answer_probe(const struct pgw_engine_guard *guard,
-                       struct pgw_guard_entry *peer,
-                       const Pgw__EngineProbe *probe)
+pgw_engine_sidecar_answer_probe(const struct pgw_engine_sidecar *guard,
+                                struct pgw_connected_entry *peer,
+                                const Pgw__EngineProbe *probe)
 {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_told_part));
+    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     uint64_t now = pgw_now_us();
 
     for (size_t i = 0; i < probe->n_part_keys; i++) {
-        struct pgw_told_part word =
-            pgw_held_parts_answer(&guard->parts, probe->part_keys[i], now);
+        struct pgw_part_update word =
+            pgw_cached_parts_lookup(&guard->parts, probe->part_keys[i], now);
 
         g_array_append_val(words, word);
     }
@@ -177,13 +177,13 @@
 }
 
 static unsigned
-count_far(const struct pgw_engine_guard *guard)
+count_far(const struct pgw_engine_sidecar *guard)
 {
     unsigned count = 0;
 
     pgw_list_foreach (link, &guard->entries) {
-        const struct pgw_guard_entry *peer =
-            pgw_container_of(link, struct pgw_guard_entry, in_guard);
+        const struct pgw_connected_entry *peer =
+            pgw_container_of(link, struct pgw_connected_entry, in_guard);
 
         count += peer->far && !peer->on_request;
     }
@@ -192,65 +192,65 @@
 
 /* An entry that is new gets all. */
 static void
-tell_group(struct pgw_engine_guard *guard, bool far, bool identity,
+tell_group(struct pgw_engine_sidecar *guard, bool far, bool identity,
            size_t most)
 {
     bool reset = far ? guard->parts.far_reset : guard->parts.reset;
-    GArray *words = pgw_held_parts_changes(&guard->parts, far, most);
+    GArray *words = pgw_cached_parts_changes(&guard->parts, far, most);
     struct report report = {
         .words = words,
         .reset = reset,
         .identity = identity || reset,
     };
     size_t size =
-        (report.identity ? PGW_GUARD_STATE_BYTES : PGW_GUARD_LOAD_BYTES) +
-        words->len * PGW_GUARD_PART_BYTES;
+        (report.identity ? PGW_REPORT_FULL_BYTES : PGW_REPORT_LOAD_BYTES) +
+        words->len * PGW_REPORT_PART_BYTES;
 
     pgw_list_foreach (link, &guard->entries) {
-        struct pgw_guard_entry *peer =
-            pgw_container_of(link, struct pgw_guard_entry, in_guard);
+        struct pgw_connected_entry *peer =
+            pgw_container_of(link, struct pgw_connected_entry, in_guard);
 
         if (peer->far != far || peer->on_request) {
             continue;
         }
         if (!far) {
-            pgw_guard_budget_spend(&guard->budget, size);
+            pgw_report_budget_spend(&guard->budget, size);
         }
         if (peer->known) {
             send_state(guard, peer, &report);
         }
         else {
-            pgw_guard_send_state(guard, peer);
+            pgw_engine_sidecar_send_full_state(guard, peer);
         }
     }
     g_array_unref(words);
 }
 
 static bool
-is_far_due(const struct pgw_engine_guard *guard)
+is_far_due(const struct pgw_engine_sidecar *guard)
 {
     return pgw_now_us() - guard->told_far_us >=
-           pgw_guard_far_period_us(count_far(guard));
+           pgw_report_budget_remote_period_us(count_far(guard));
 }
 
 /* Changes of the engine's state go to all at once; those of its load and its
  * cache to the entries of the zone, and to the others now and then. */
 void
-pgw_guard_tell_all(struct pgw_engine_guard *guard, bool urgent)
+pgw_engine_sidecar_report_to_all(struct pgw_engine_sidecar *guard, bool urgent)
 {
     bool far = urgent || is_far_due(guard);
 
     report_copy(&guard->told, &guard->report);
     guard->told.load = current_load(guard);
     guard->told_alive = guard->alive;
-    guard->told_loading = pgw_guard_is_loading(guard);
+    guard->told_loading = pgw_engine_sidecar_is_loading(guard);
     guard->told_us = pgw_now_us();
     tell_group(guard, false, urgent, SIZE_MAX);
     if (far) {
         guard->told_far_us = guard->told_us;
         tell_group(guard, true, urgent,
                    pgw_policy_is_on(&guard->options.policy, PGW_FAR_PARTS)
-                       ? pgw_guard_far_parts_most(count_far(guard))
+                       ? pgw_report_budget_remote_parts_max(count_far(guard))
                        : 0);
     }
 }
@@ -263,14 +263,14 @@
 
 /* What no request may wait for: its engine's life, weights and orders. */
 bool
-pgw_guard_is_urgent(const struct pgw_engine_guard *guard)
+pgw_engine_sidecar_has_urgent_change(const struct pgw_engine_sidecar *guard)
 {
     const struct pgw_engine_report *now = &guard->report;
     const struct pgw_engine_report *told = &guard->told;
 
     if (guard->alive != guard->told_alive ||
         now->started_ms != told->started_ms ||
-        pgw_guard_is_loading(guard) != guard->told_loading ||
+        pgw_engine_sidecar_is_loading(guard) != guard->told_loading ||
         now->model_count != told->model_count) {
         return true;
     }
@@ -283,14 +283,14 @@
 }
 
 static bool
-has_changed(const struct pgw_engine_guard *guard)
+has_changed(const struct pgw_engine_sidecar *guard)
 {
     struct pgw_upstream_load now = current_load(guard);
     const struct pgw_upstream_load *told = &guard->told.load;
 
     return pgw_now_us() - guard->told_us >= PUSH_MAX_US ||
-           pgw_held_parts_is_news(&guard->parts, false) ||
-           (pgw_held_parts_is_news(&guard->parts, true) &&
+           pgw_cached_parts_has_changes(&guard->parts, false) ||
+           (pgw_cached_parts_has_changes(&guard->parts, true) &&
             is_far_due(guard)) ||
            now.long_prefills != told->long_prefills ||
            distance(now.running + now.waiting,
@@ -300,9 +300,9 @@
 }
 
 bool
-pgw_guard_is_news(struct pgw_engine_guard *guard)
+pgw_engine_sidecar_has_reportable_change(struct pgw_engine_sidecar *guard)
 {
     return has_changed(guard) &&
-           pgw_guard_budget_has(&guard->budget, count_far(guard),
-                                pgw_now_us());
+           pgw_report_budget_has(&guard->budget, count_far(guard),
+                                 pgw_now_us());
 }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,10 +1,10 @@
 #ifndef PGW_GATEWAY_EXCHANGE_H
 #define PGW_GATEWAY_EXCHANGE_H
 
-#include "gateway/estimate.h"
+#include "gateway/crash_quarantine.h"
 #include "gateway/gateway.h"
-#include "gateway/named_weights.h"
-#include "gateway/poison.h"
+#include "gateway/moving_average.h"
+#include "gateway/target_weights.h"
 
 /**
  * struct pgw_gateway - one entry
@@ -20,7 +20,7 @@
  * @pump_timer: looks at it when an upstream that refused is asked again
  * @start_timer: callers are let in without a configuration
  * @unresponsive_timer: looks for upstreams that have fallen silent
- * @weights: model -> &struct pgw_named_weights
+ * @weights: model -> &struct pgw_target_weights
  * @token_ms: time that a run takes for each token of the longest answer that
  *   its caller allows, as observed
  * @read_rate: tokens that an engine reads in a millisecond, as observed
@@ -42,18 +42,18 @@
     struct pgw_route_table *routes;
     uint64_t routes_at_us;
     struct pgw_upstream_table *upstreams;
-    struct pgw_budgets *budgets;
-    struct pgw_poison *poison;
+    struct pgw_retry_budgets *budgets;
+    struct pgw_crash_quarantine *poison;
     struct pgw_quota *quota;
-    struct pgw_waiting waiting;
+    struct pgw_wait_queue waiting;
     struct pgw_list exchanges;
     struct pgw_task pump;
     struct pgw_timer pump_timer;
     struct pgw_timer start_timer;
     struct pgw_timer unresponsive_timer;
     GHashTable *weights;
-    struct pgw_estimate token_ms;
-    struct pgw_estimate read_rate;
+    struct pgw_moving_average token_ms;
+    struct pgw_moving_average read_rate;
     double turn_ms;
     uint64_t pump_at_us;
     bool pump_posted;
@@ -121,7 +121,7 @@
     struct pgw_request_facts facts;
     struct pgw_fingerprint fingerprint;
     enum pgw_exchange_phase phase;
-    struct pgw_waiting_item waiting;
+    struct pgw_wait_queue_item waiting;
     struct pgw_timer timer;
     struct pgw_timer attempt_timer;
     uint64_t received_us;
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -1,4 +1,4 @@
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
 #include "gateway/exchange.h"
 #include "gateway/response_timeout.h"
 #include "gateway/source.h"
@@ -90,12 +90,12 @@
             unknown[count++] =
                 (struct pgw_shared_part){.key = key, .tokens = tokens};
         }
-        pgw_prefix_memory_note(&upstream->expected, key, now);
+        pgw_recent_parts_add(&upstream->expected, key, now);
     }
     announcement.to_read =
         prompt->tokens - choice->shared_tokens + choice->missing_tokens;
     announcement.memory = prompt->tokens + prompt->output_tokens;
-    announcement.request = pgw_announced_id(exchange->facts.id);
+    announcement.request = pgw_announced_prompts_id(exchange->facts.id);
     announcement.count = count;
     if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL) &&
         gateway->sidecars != NULL &&
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -44,7 +44,8 @@
 {
     struct pgw_gateway *gateway = context;
 
-    pgw_poison_crashed(gateway->poison, upstream->id, pgw_now_us());
+    pgw_crash_quarantine_add_crash(gateway->poison, upstream->id,
+                                   pgw_now_us());
 }
 
 static void
@@ -68,7 +69,7 @@
     gateway->options = *options;
     pgw_choose_options_apply(&gateway->options.choose, &options->policy);
     pgw_list_init(&gateway->exchanges);
-    pgw_waiting_init(&gateway->waiting);
+    pgw_wait_queue_init(&gateway->waiting);
     gateway->server = pgw_caller_server_new(loop, &options->listen,
                                             &caller_ops, gateway, error);
     if (gateway->server == NULL) {
@@ -91,10 +92,10 @@
     gateway->zone = g_strdup(options->zone);
     gateway->pool = pgw_call_pool_new(loop, &pool);
     gateway->upstreams = pgw_upstream_table_new(options->zone);
-    pgw_estimate_init(&gateway->token_ms, TOKEN_MS_PRIOR);
-    pgw_estimate_init(&gateway->read_rate, READ_RATE_PRIOR);
-    gateway->budgets = pgw_budgets_new(&options->budgets);
-    gateway->poison = pgw_poison_new(&options->poison);
+    pgw_moving_average_init(&gateway->token_ms, TOKEN_MS_PRIOR);
+    pgw_moving_average_init(&gateway->read_rate, READ_RATE_PRIOR);
+    gateway->budgets = pgw_retry_budgets_new(&options->budgets);
+    gateway->poison = pgw_crash_quarantine_new(&options->poison);
     gateway->quota = pgw_quota_new(gateway, &options->quota);
     pgw_upstream_table_on_lost(gateway->upstreams, on_upstream_lost, gateway);
     pgw_unresponsive_start(gateway);
@@ -118,8 +119,8 @@
     pgw_call_pool_free(gateway->pool);
     pgw_quota_free(gateway->quota);
     pgw_upstream_table_free(gateway->upstreams);
-    pgw_budgets_free(gateway->budgets);
-    pgw_poison_free(gateway->poison);
+    pgw_retry_budgets_free(gateway->budgets);
+    pgw_crash_quarantine_free(gateway->poison);
     pgw_route_table_unref(gateway->routes);
     g_hash_table_destroy(gateway->weights);
     g_hash_table_destroy(gateway->probes);
@@ -128,8 +129,8 @@
     g_free(gateway);
 }
 
-struct pgw_poison *
-pgw_gateway_poison(struct pgw_gateway *gateway)
+struct pgw_crash_quarantine *
+pgw_gateway_crash_quarantine(struct pgw_gateway *gateway)
 {
     return gateway->poison;
 }
@@ -212,18 +213,18 @@
 }
 
 void
-pgw_gateway_name_weights(struct pgw_gateway *gateway, const char *model,
-                         uint64_t version, uint64_t age_us)
+pgw_gateway_set_target_weights(struct pgw_gateway *gateway, const char *model,
+                               uint64_t version, uint64_t age_us)
 {
-    struct pgw_named_weights *named =
+    struct pgw_target_weights *named =
         g_hash_table_lookup(gateway->weights, model);
     uint64_t now = pgw_now_us();
 
     if (named == NULL) {
-        named = g_new0(struct pgw_named_weights, 1);
+        named = g_new0(struct pgw_target_weights, 1);
         g_hash_table_insert(gateway->weights, g_strdup(model), named);
     }
-    if (pgw_named_weights_add(named, version, now - MIN(age_us, now))) {
+    if (pgw_target_weights_add(named, version, now - MIN(age_us, now))) {
         pgw_log_info("weights_named",
                      "model=%s version=%" G_GUINT64_FORMAT
                      " age_ms=%" G_GUINT64_FORMAT,
@@ -234,10 +235,10 @@
 uint64_t
 pgw_gateway_weights(const struct pgw_gateway *gateway, const char *model)
 {
-    const struct pgw_named_weights *named =
+    const struct pgw_target_weights *named =
         g_hash_table_lookup(gateway->weights, model);
 
-    return named == NULL ? 0 : pgw_named_weights_newest(named);
+    return named == NULL ? 0 : pgw_target_weights_newest(named);
 }
 
 void
@@ -266,14 +267,13 @@
 pgw_gateway_weights_left(const struct pgw_gateway *gateway, const char *model,
                          uint64_t version)
 {
-    const struct pgw_named_weights *named =
+    const struct pgw_target_weights *named =
         g_hash_table_lookup(gateway->weights, model);
 
-    return named == NULL
-               ? UINT64_MAX
-               : pgw_named_weights_left(named, version,
-                                        gateway->options.old_weights_us,
-                                        pgw_now_us());
+    return named == NULL ? UINT64_MAX
+                         : pgw_target_weights_usable_for_us(
+                               named, version, gateway->options.old_weights_us,
+                               pgw_now_us());
 }
 
 /* All that waits is looked at, since what blocks the first may not block the
@@ -285,7 +285,7 @@
         pgw_container_of(task, struct pgw_gateway, pump);
 
     gateway->pump_posted = false;
-    for (unsigned rank = 0; rank < PGW_WAITING_RANKS; rank++) {
+    for (unsigned rank = 0; rank < PGW_WAIT_QUEUE_RANKS; rank++) {
         pgw_list_foreach_safe (link, &gateway->waiting.queues[rank]) {
             pgw_exchange_place(
                 pgw_container_of(link, struct pgw_exchange, waiting.link));
@@ -337,7 +337,7 @@
 void
 pgw_gateway_set_entries(struct pgw_gateway *gateway, uint32_t entries)
 {
-    pgw_budgets_set_entries(gateway->budgets, entries);
+    pgw_retry_budgets_set_entries(gateway->budgets, entries);
     pgw_quota_set_entries(gateway->quota, entries);
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,18 +1,18 @@
 #ifndef PGW_GATEWAY_GATEWAY_H
 #define PGW_GATEWAY_GATEWAY_H
 
-#include "gateway/budgets.h"
 #include "gateway/call.h"
 #include "gateway/caller.h"
 #include "gateway/choose.h"
 #include "gateway/codec.h"
+#include "gateway/crash_quarantine.h"
 #include "gateway/event_stream.h"
-#include "gateway/poison.h"
 #include "gateway/policy.h"
 #include "gateway/quota.h"
+#include "gateway/retry_budgets.h"
 #include "gateway/route_table.h"
 #include "gateway/upstream_table.h"
-#include "gateway/waiting.h"
+#include "gateway/wait_queue.h"
 
 /**
  * DOC: The entry that passes requests on as they are
@@ -62,10 +62,10 @@
     struct pgw_address listen;
     const struct pgw_codec *codec;
     struct pgw_policy policy;
-    struct pgw_budgets_options budgets;
+    struct pgw_retry_budgets_options budgets;
     struct pgw_choose_options choose;
     struct pgw_quota_bounds quota;
-    struct pgw_poison_options poison;
+    struct pgw_crash_quarantine_options poison;
     uint64_t old_weights_us;
     uint64_t new_weights_us;
     double wait_share;
@@ -119,14 +119,15 @@
 struct pgw_upstream_table *pgw_gateway_upstreams(struct pgw_gateway *gateway);
 
 /**
- * pgw_gateway_name_weights() - a newer version of a model was named
+ * pgw_gateway_set_target_weights() - a newer version of a model was named
  * @gateway: the gateway
  * @model: whose weights
  * @version: their version; not newer than the last one: nothing happens
  * @age_us: how long ago, as far as is known
  */
-void pgw_gateway_name_weights(struct pgw_gateway *gateway, const char *model,
-                              uint64_t version, uint64_t age_us);
+void pgw_gateway_set_target_weights(struct pgw_gateway *gateway,
+                                    const char *model, uint64_t version,
+                                    uint64_t age_us);
 
 /**
  * struct pgw_shared_part - a shared part of a request on its way to an engine
@@ -144,7 +145,7 @@
  * @count: number of @parts
  * @to_read: tokens of the prompt that the engine has to read
  * @memory: tokens of the engine's memory that it takes at most
- * @request: pgw_announced_id() of the request
+ * @request: pgw_announced_prompts_id() of the request
  */
 struct pgw_announcement {
     const struct pgw_shared_part *parts;
@@ -206,9 +207,10 @@
  * repeats */
 void pgw_gateway_set_entries(struct pgw_gateway *gateway, uint32_t entries);
 
-/** pgw_gateway_poison() - what is known of requests that crash upstreams, to
- * be told to other entries */
-struct pgw_poison *pgw_gateway_poison(struct pgw_gateway *gateway);
+/** pgw_gateway_crash_quarantine() - what is known of requests that crash
+ * upstreams, to be told to other entries */
+struct pgw_crash_quarantine *
+pgw_gateway_crash_quarantine(struct pgw_gateway *gateway);
 
 /** pgw_gateway_pump() - upstreams have changed: look at what waits */
 void pgw_gateway_pump(struct pgw_gateway *gateway);
--- a/src/gateway/mesh.c
+++ b/src/gateway/gossip.c
@@ -1,4 +1,4 @@
-#include "gateway/mesh.h"
+#include "gateway/gossip.h"
 #include "gateway/crashed_runs.h"
 #include "libparsleygw/link.h"
 #include "util/list.h"
@@ -37,7 +37,7 @@
  */
 struct peer {
     struct pgw_list in_mesh;
-    struct pgw_mesh *mesh;
+    struct pgw_gossip *mesh;
     struct pgw_link *link;
     int seed;
     struct revisions has;
@@ -45,15 +45,15 @@
 };
 
 struct seed {
-    struct pgw_mesh *mesh;
+    struct pgw_gossip *mesh;
     struct pgw_address address;
     struct pgw_timer timer;
     int index;
 };
 
-struct pgw_mesh {
+struct pgw_gossip {
     struct pgw_loop *loop;
-    struct pgw_mesh_options options;
+    struct pgw_gossip_options options;
     struct pgw_documents *documents;
     struct revisions reached;
     struct pgw_timer news_timer;
@@ -184,8 +184,8 @@
 static void
 news_due(struct pgw_timer *timer)
 {
-    struct pgw_mesh *mesh =
-        pgw_container_of(timer, struct pgw_mesh, news_timer);
+    struct pgw_gossip *mesh =
+        pgw_container_of(timer, struct pgw_gossip, news_timer);
 
     pgw_list_foreach (link, &mesh->peers) {
         tell_peer(pgw_container_of(link, struct peer, in_mesh));
@@ -208,8 +208,8 @@
 static void
 ask_due(struct pgw_timer *timer)
 {
-    struct pgw_mesh *mesh =
-        pgw_container_of(timer, struct pgw_mesh, ask_timer);
+    struct pgw_gossip *mesh =
+        pgw_container_of(timer, struct pgw_gossip, ask_timer);
 
     pgw_list_foreach (link, &mesh->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, in_mesh);
@@ -229,7 +229,7 @@
 }
 
 static void
-take_document(struct pgw_mesh *mesh, const struct pgw_document *document)
+take_document(struct pgw_gossip *mesh, const struct pgw_document *document)
 {
     const struct pgw_document *stored =
         pgw_documents_put(mesh->documents, document);
@@ -245,7 +245,7 @@
 }
 
 void
-pgw_mesh_put(struct pgw_mesh *mesh, const struct pgw_document *document)
+pgw_gossip_put(struct pgw_gossip *mesh, const struct pgw_document *document)
 {
     take_document(mesh, document);
 }
@@ -304,7 +304,7 @@
 static void
 take_news(struct peer *peer, const Pgw__News *news)
 {
-    struct pgw_mesh *mesh = peer->mesh;
+    struct pgw_gossip *mesh = peer->mesh;
     struct revisions since = {0};
 
     for (size_t i = 0; i < news->n_kinds; i++) {
@@ -337,7 +337,7 @@
 on_crashed_runs(const struct pgw_crashed_run *runs, size_t count,
                 void *context)
 {
-    struct pgw_mesh *mesh = context;
+    struct pgw_gossip *mesh = context;
 
     pgw_list_foreach (link, &mesh->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, in_mesh);
@@ -355,7 +355,8 @@
     if (peer->mesh->options.poison == NULL) {
         return;
     }
-    known = pgw_poison_known(peer->mesh->options.poison, pgw_now_us());
+    known =
+        pgw_crash_quarantine_list(peer->mesh->options.poison, pgw_now_us());
     pgw_crashed_runs_send(peer->link,
                           (const struct pgw_crashed_run *)(void *)known->data,
                           known->len);
@@ -394,7 +395,7 @@
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
     struct peer *peer = context;
-    struct pgw_mesh *mesh = peer->mesh;
+    struct pgw_gossip *mesh = peer->mesh;
 
     (void)link;
     pgw_log_info("entry_link_lost", "seed=%d reason=%s", peer->seed,
@@ -424,7 +425,7 @@
 static void
 on_accept(int fd, void *context)
 {
-    struct pgw_mesh *mesh = context;
+    struct pgw_gossip *mesh = context;
     struct peer *peer = g_new0(struct peer, 1);
     GError *error = NULL;
 
@@ -463,7 +464,7 @@
 }
 
 static void
-add_seeds(struct pgw_mesh *mesh)
+add_seeds(struct pgw_gossip *mesh)
 {
     char own[PGW_ADDRESS_TEXT_SIZE];
     char name[PGW_ADDRESS_TEXT_SIZE];
@@ -485,11 +486,11 @@
     }
 }
 
-struct pgw_mesh *
-pgw_mesh_new(struct pgw_loop *loop, const struct pgw_mesh_options *options,
-             GError **error)
+struct pgw_gossip *
+pgw_gossip_new(struct pgw_loop *loop, const struct pgw_gossip_options *options,
+               GError **error)
 {
-    struct pgw_mesh *mesh = g_new0(struct pgw_mesh, 1);
+    struct pgw_gossip *mesh = g_new0(struct pgw_gossip, 1);
 
     mesh->loop = loop;
     mesh->options = *options;
@@ -505,7 +506,7 @@
         return NULL;
     }
     if (options->poison != NULL) {
-        pgw_poison_subscribe(options->poison, on_crashed_runs, mesh);
+        pgw_crash_quarantine_subscribe(options->poison, on_crashed_runs, mesh);
     }
     mesh->instance = g_strdup(options->instance);
     mesh->zone = g_strdup(options->zone);
@@ -514,11 +515,11 @@
 }
 
 void
-pgw_mesh_free(struct pgw_mesh *mesh)
+pgw_gossip_free(struct pgw_gossip *mesh)
 {
     mesh->closing = true;
     if (mesh->options.poison != NULL) {
-        pgw_poison_subscribe(mesh->options.poison, NULL, NULL);
+        pgw_crash_quarantine_subscribe(mesh->options.poison, NULL, NULL);
     }
     pgw_list_foreach_safe (link, &mesh->peers) {
         pgw_link_close(pgw_container_of(link, struct peer, in_mesh)->link);
@@ -539,13 +540,13 @@
 }
 
 const struct pgw_documents *
-pgw_mesh_documents(const struct pgw_mesh *mesh)
+pgw_gossip_documents(const struct pgw_gossip *mesh)
 {
     return mesh->documents;
 }
 
 uint16_t
-pgw_mesh_port(const struct pgw_mesh *mesh)
+pgw_gossip_port(const struct pgw_gossip *mesh)
 {
     return pgw_listener_port(mesh->listener);
 }
--- a/src/gateway/mesh.h
+++ b/src/gateway/gossip.h
@@ -1,8 +1,8 @@
-#ifndef PGW_GATEWAY_MESH_H
-#define PGW_GATEWAY_MESH_H
+#ifndef PGW_GATEWAY_GOSSIP_H
+#define PGW_GATEWAY_GOSSIP_H
 
+#include "gateway/crash_quarantine.h"
 #include "gateway/documents.h"
-#include "gateway/poison.h"
 #include "util/address.h"
 #include "util/loop.h"
 
@@ -16,14 +16,14 @@
  * leaving upstreams from the others; one that hears from the store itself asks
  * for nothing, so that copies are not sent twice. Nothing is decided here:
  * copies are compared by the platform's own revisions. On the same connections
- * go the crashes that each entry has seen (&struct pgw_poison): a request that
- * brings engines down comes to another entry each time.
+ * go the crashes that each entry has seen (&struct pgw_crash_quarantine): a
+ * request that brings engines down comes to another entry each time.
  */
 
-struct pgw_mesh;
+struct pgw_gossip;
 
 /**
- * struct pgw_mesh_options - settings
+ * struct pgw_gossip_options - settings
  * @listen: where other entries connect
  * @seeds: addresses to connect to; its own is left out
  * @seed_count: number of @seeds
@@ -36,7 +36,7 @@
  * @poison: what is known of requests that crash upstreams, kept alike on all
  *   entries; NULL: none
  */
-struct pgw_mesh_options {
+struct pgw_gossip_options {
     struct pgw_address listen;
     const struct pgw_address *seeds;
     size_t seed_count;
@@ -45,22 +45,24 @@
     uint64_t ask_after_us;
     void (*on_document)(const struct pgw_document *document, void *context);
     void *context;
-    struct pgw_poison *poison;
+    struct pgw_crash_quarantine *poison;
 };
 
-/** pgw_mesh_new() - listen and start connecting; %PGW_ERROR_IO */
-struct pgw_mesh *pgw_mesh_new(struct pgw_loop *loop,
-                              const struct pgw_mesh_options *options,
-                              GError **error);
-void pgw_mesh_free(struct pgw_mesh *mesh);
+/** pgw_gossip_new() - listen and start connecting; %PGW_ERROR_IO */
+struct pgw_gossip *pgw_gossip_new(struct pgw_loop *loop,
+                                  const struct pgw_gossip_options *options,
+                                  GError **error);
+void pgw_gossip_free(struct pgw_gossip *mesh);
 
-/** pgw_mesh_put() - news from the platform's store */
-void pgw_mesh_put(struct pgw_mesh *mesh, const struct pgw_document *document);
+/** pgw_gossip_put() - news from the platform's store */
+void pgw_gossip_put(struct pgw_gossip *mesh,
+                    const struct pgw_document *document);
 
-/** pgw_mesh_documents() - what is known */
-const struct pgw_documents *pgw_mesh_documents(const struct pgw_mesh *mesh);
+/** pgw_gossip_documents() - what is known */
+const struct pgw_documents *
+pgw_gossip_documents(const struct pgw_gossip *mesh);
 
-/** pgw_mesh_port() - the port that it listens on */
-uint16_t pgw_mesh_port(const struct pgw_mesh *mesh);
+/** pgw_gossip_port() - the port that it listens on */
+uint16_t pgw_gossip_port(const struct pgw_gossip *mesh);
 
 #endif
--- a/src/gateway/estimate.c
+++ b/src/gateway/moving_average.c
@@ -1,4 +1,4 @@
-#include "gateway/estimate.h"
+#include "gateway/moving_average.h"
 
 #include <glib.h>
 
@@ -11,14 +11,14 @@
 #define OUTLIER_TIMES 4.0
 
 void
-pgw_estimate_init(struct pgw_estimate *estimate, double prior)
+pgw_moving_average_init(struct pgw_moving_average *estimate, double prior)
 {
-    *estimate = (struct pgw_estimate){.value = prior};
+    *estimate = (struct pgw_moving_average){.value = prior};
 }
 
 void
-pgw_estimate_note(struct pgw_estimate *estimate, double sample,
-                  uint64_t now_us)
+pgw_moving_average_add(struct pgw_moving_average *estimate, double sample,
+                       uint64_t now_us)
 {
     double weight = 1.0 / (double)(estimate->samples + 2);
 
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -74,8 +74,9 @@
                          exchange->upstream->id, facts.instance);
             exchange->upstream->displaced = true;
             exchange->upstream->ended_at_us = pgw_now_us();
-            pgw_poison_crashed(exchange->gateway->poison,
-                               exchange->upstream->id, pgw_now_us());
+            pgw_crash_quarantine_add_crash(exchange->gateway->poison,
+                                           exchange->upstream->id,
+                                           pgw_now_us());
             if (exchange->gateway->options.on_answered_by != NULL) {
                 exchange->gateway->options.on_answered_by(
                     facts.instance, exchange->gateway->options.context);
@@ -118,9 +119,9 @@
         read < PGW_LONG_PREFILL) {
         return;
     }
-    pgw_estimate_note(&gateway->read_rate,
-                      read * 1000.0 / (double)(now_us - exchange->sent_us + 1),
-                      now_us);
+    pgw_moving_average_add(
+        &gateway->read_rate,
+        read * 1000.0 / (double)(now_us - exchange->sent_us + 1), now_us);
     pgw_metric_register_gauge(&read_rate);
     pgw_metric_gauge_set(&read_rate, (int64_t)gateway->read_rate.value);
 }
@@ -194,10 +195,11 @@
 
     if (exchange->is_stream && exchange->sends == 1 &&
         exchange->facts.prompt.output_tokens > 0) {
-        pgw_estimate_note(&exchange->gateway->token_ms,
-                          (double)(now - exchange->first_event_us) / 1000.0 /
-                              exchange->facts.prompt.output_tokens,
-                          now);
+        pgw_moving_average_add(&exchange->gateway->token_ms,
+                               (double)(now - exchange->first_event_us) /
+                                   1000.0 /
+                                   exchange->facts.prompt.output_tokens,
+                               now);
     }
 }
 
@@ -245,8 +247,9 @@
     if (pgw_buffer_size(&exchange->events.pending) > 0 ||
         (exchange->phase == PGW_PHASE_RELAYING && !exchange->is_stream)) {
         pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
-        pgw_poison_broke(exchange->gateway->poison, &exchange->fingerprint,
-                         exchange->upstream->id, pgw_now_us());
+        pgw_crash_quarantine_add_interrupted(
+            exchange->gateway->poison, &exchange->fingerprint,
+            exchange->upstream->id, pgw_now_us());
         pgw_attempt_unknown(exchange, "cut_event");
         return;
     }
@@ -260,8 +263,8 @@
     }
     else {
         pgw_attempt_note(exchange, PGW_RESULT_GOOD);
-        pgw_poison_ended_well(exchange->gateway->poison,
-                              &exchange->fingerprint);
+        pgw_crash_quarantine_clear(exchange->gateway->poison,
+                                   &exchange->fingerprint);
     }
     deliver(exchange);
 }
@@ -287,8 +290,9 @@
          * moment ago may have crashed it. One that does not answer may only
          * be cut off from this entry. */
         if (call->refused) {
-            pgw_poison_crashed(exchange->gateway->poison,
-                               exchange->upstream->id, pgw_now_us());
+            pgw_crash_quarantine_add_crash(exchange->gateway->poison,
+                                           exchange->upstream->id,
+                                           pgw_now_us());
         }
         if (exchange->runs > 0) {
             exchange->runs--;
@@ -296,8 +300,9 @@
         pgw_attempt_not_run(exchange, names[why], false);
         return;
     }
-    pgw_poison_broke(exchange->gateway->poison, &exchange->fingerprint,
-                     exchange->upstream->id, pgw_now_us());
+    pgw_crash_quarantine_add_interrupted(exchange->gateway->poison,
+                                         &exchange->fingerprint,
+                                         exchange->upstream->id, pgw_now_us());
     pgw_attempt_unknown(exchange, names[why]);
 }
 
--- a/src/gateway/guard_budget.c
+++ b/src/gateway/report_budget.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_budget.h"
+#include "gateway/report_budget.h"
 #include <glib.h>
 
 /* Bytes a second for the entries of the own zone; fewer where entries of other
@@ -19,8 +19,8 @@
 #define FAR_PERIOD_BACK_US 110000
 
 bool
-pgw_guard_budget_has(struct pgw_guard_budget *budget, unsigned far_entries,
-                     uint64_t now_us)
+pgw_report_budget_has(struct pgw_report_budget *budget, unsigned far_entries,
+                      uint64_t now_us)
 {
     double rate = far_entries > 0 ? NEAR_BYTES_BESIDE_FAR_S : NEAR_BYTES_S;
     double filled =
@@ -35,33 +35,33 @@
 }
 
 void
-pgw_guard_budget_spend(struct pgw_guard_budget *budget, size_t bytes)
+pgw_report_budget_spend(struct pgw_report_budget *budget, size_t bytes)
 {
     budget->bytes -= (double)bytes;
 }
 
 uint64_t
-pgw_guard_far_period_us(unsigned entries)
+pgw_report_budget_remote_period_us(unsigned entries)
 {
-    uint64_t us = (uint64_t)MAX(entries, 1) * PGW_GUARD_LOAD_BYTES *
+    uint64_t us = (uint64_t)MAX(entries, 1) * PGW_REPORT_LOAD_BYTES *
                   1000000ULL / FAR_FRAME_BYTES_S;
 
     return MAX(us, FAR_PUSH_MIN_US);
 }
 
 bool
-pgw_guard_reports_reach_far(unsigned entries, bool reached)
+pgw_report_budget_reaches_remote(unsigned entries, bool reached)
 {
-    return pgw_guard_far_period_us(entries) <=
+    return pgw_report_budget_remote_period_us(entries) <=
            (reached ? FAR_PERIOD_MAX_US : FAR_PERIOD_BACK_US);
 }
 
 size_t
-pgw_guard_far_parts_most(unsigned entries)
+pgw_report_budget_remote_parts_max(unsigned entries)
 {
     uint64_t bytes = (FAR_BYTES_S - FAR_FRAME_BYTES_S) *
-                     pgw_guard_far_period_us(entries) / 1000000ULL;
-    uint64_t part_bytes = (uint64_t)MAX(entries, 1) * PGW_GUARD_PART_BYTES;
+                     pgw_report_budget_remote_period_us(entries) / 1000000ULL;
+    uint64_t part_bytes = (uint64_t)MAX(entries, 1) * PGW_REPORT_PART_BYTES;
 
     return MAX(bytes / part_bytes, 1);
 }
--- a/src/gateway/budgets.c
+++ b/src/gateway/retry_budgets.c
@@ -1,14 +1,14 @@
-#include "gateway/budgets.h"
+#include "gateway/retry_budgets.h"
 
-struct pgw_budgets {
-    struct pgw_budgets_options options;
+struct pgw_retry_budgets {
+    struct pgw_retry_budgets_options options;
     GHashTable *by_service;
 };
 
-struct pgw_budgets *
-pgw_budgets_new(const struct pgw_budgets_options *options)
+struct pgw_retry_budgets *
+pgw_retry_budgets_new(const struct pgw_retry_budgets_options *options)
 {
-    struct pgw_budgets *budgets = g_new0(struct pgw_budgets, 1);
+    struct pgw_retry_budgets *budgets = g_new0(struct pgw_retry_budgets, 1);
 
     budgets->options = *options;
     budgets->by_service =
@@ -18,20 +18,21 @@
 }
 
 void
-pgw_budgets_free(struct pgw_budgets *budgets)
+pgw_retry_budgets_free(struct pgw_retry_budgets *budgets)
 {
     g_hash_table_destroy(budgets->by_service);
     g_free(budgets);
 }
 
 static uint32_t
-own_slack(const struct pgw_budgets *budgets)
+own_slack(const struct pgw_retry_budgets *budgets)
 {
     return MAX(budgets->options.slack / MAX(budgets->options.entries, 1), 1);
 }
 
 void
-pgw_budgets_set_entries(struct pgw_budgets *budgets, uint32_t entries)
+pgw_retry_budgets_set_entries(struct pgw_retry_budgets *budgets,
+                              uint32_t entries)
 {
     GHashTableIter iter;
     void *budget;
@@ -47,7 +48,7 @@
 }
 
 static struct pgw_retry_budget *
-get(struct pgw_budgets *budgets, const char *service)
+get(struct pgw_retry_budgets *budgets, const char *service)
 {
     struct pgw_retry_budget *budget =
         g_hash_table_lookup(budgets->by_service, service);
@@ -65,13 +66,15 @@
 }
 
 void
-pgw_budgets_deposit(struct pgw_budgets *budgets, const char *service)
+pgw_retry_budgets_deposit(struct pgw_retry_budgets *budgets,
+                          const char *service)
 {
     pgw_retry_budget_deposit(get(budgets, service));
 }
 
 bool
-pgw_budgets_withdraw(struct pgw_budgets *budgets, const char *service)
+pgw_retry_budgets_withdraw(struct pgw_retry_budgets *budgets,
+                           const char *service)
 {
     return pgw_retry_budget_withdraw(get(budgets, service));
 }
--- a/src/gateway/load_window.c
+++ b/src/gateway/rollout_window.c
@@ -1,4 +1,4 @@
-#include "gateway/load_window.h"
+#include "gateway/rollout_window.h"
 #include <glib.h>
 #include <stdlib.h>
 
@@ -8,15 +8,15 @@
 #define LATEST_LAST 1.15
 
 void
-pgw_load_pace_note(struct pgw_load_pace *pace, uint64_t us)
+pgw_weights_load_times_add(struct pgw_weights_load_times *pace, uint64_t us)
 {
     pace->samples[pace->next] = us;
-    pace->next = (pace->next + 1) % PGW_LOAD_PACE_SAMPLES;
-    pace->count = MIN(pace->count + 1, PGW_LOAD_PACE_SAMPLES);
+    pace->next = (pace->next + 1) % PGW_WEIGHTS_LOAD_TIMES_MAX;
+    pace->count = MIN(pace->count + 1, PGW_WEIGHTS_LOAD_TIMES_MAX);
 }
 
 uint64_t
-pgw_load_pace_expected(const struct pgw_load_pace *pace)
+pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *pace)
 {
     uint64_t least = 0;
 
@@ -29,8 +29,8 @@
 }
 
 unsigned
-pgw_load_window_size(const struct pgw_load_window_options *options,
-                     unsigned count)
+pgw_rollout_window_size(const struct pgw_rollout_window_options *options,
+                        unsigned count)
 {
     unsigned usual = (unsigned)((double)count * options->share + 0.5);
 
@@ -40,8 +40,8 @@
 static int
 compare_engines(const void *left, const void *right)
 {
-    const struct pgw_load_engine *a = left;
-    const struct pgw_load_engine *b = right;
+    const struct pgw_rollout_candidate *a = left;
+    const struct pgw_rollout_candidate *b = right;
 
     if (a->version != b->version) {
         return a->version < b->version ? -1 : 1;
@@ -50,9 +50,9 @@
 }
 
 unsigned
-pgw_load_window_open(struct pgw_load_engine *engines, size_t count,
-                     uint64_t wanted,
-                     const struct pgw_load_window_options *options)
+pgw_rollout_window_select(struct pgw_rollout_candidate *engines, size_t count,
+                          uint64_t wanted,
+                          const struct pgw_rollout_window_options *options)
 {
     unsigned pending = 0;
     unsigned loading = 0;
@@ -66,7 +66,7 @@
     if (pending == 0) {
         return 0;
     }
-    size = pgw_load_window_size(options, (unsigned)count);
+    size = pgw_rollout_window_size(options, (unsigned)count);
     qsort(engines, count, sizeof(engines[0]), compare_engines);
     for (size_t i = 0; i < count; i++) {
         engines[i].go = false;
@@ -87,7 +87,7 @@
 }
 
 uint64_t
-pgw_load_window_latest(double place, uint64_t left_us)
+pgw_rollout_window_latest_start_us(double place, uint64_t left_us)
 {
     return (uint64_t)((double)left_us *
                       (LATEST_FIRST + (LATEST_LAST - LATEST_FIRST) * place));
--- a/src/gateway/load_window.h
+++ b/src/gateway/rollout_window.h
@@ -1,5 +1,5 @@
-#ifndef PGW_GATEWAY_LOAD_WINDOW_H
-#define PGW_GATEWAY_LOAD_WINDOW_H
+#ifndef PGW_GATEWAY_ROLLOUT_WINDOW_H
+#define PGW_GATEWAY_ROLLOUT_WINDOW_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -16,33 +16,35 @@
  */
 
 /* Loads whose time is remembered. */
-#define PGW_LOAD_PACE_SAMPLES 8
+#define PGW_WEIGHTS_LOAD_TIMES_MAX 8
 
 /**
- * struct pgw_load_pace - how long loads take here
+ * struct pgw_weights_load_times - how long loads take here
  * @samples: the last ones, in microseconds
  * @count: number of @samples
  * @next: which one is replaced next
  */
-struct pgw_load_pace {
-    uint64_t samples[PGW_LOAD_PACE_SAMPLES];
+struct pgw_weights_load_times {
+    uint64_t samples[PGW_WEIGHTS_LOAD_TIMES_MAX];
     size_t count;
     size_t next;
 };
 
-/** pgw_load_pace_note() - an engine was away for a load for so long */
-void pgw_load_pace_note(struct pgw_load_pace *pace, uint64_t us);
+/** pgw_weights_load_times_add() - an engine was away for a load for so long */
+void pgw_weights_load_times_add(struct pgw_weights_load_times *pace,
+                                uint64_t us);
 
 /**
- * pgw_load_pace_expected() - time that the next load takes
+ * pgw_weights_load_times_expected_us() - time that the next load takes
  *
  * Return: the least of the last ones; 0: none was seen. Others had long runs
  * to end first, or loaded beside too many.
  */
-uint64_t pgw_load_pace_expected(const struct pgw_load_pace *pace);
+uint64_t
+pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *pace);
 
 /**
- * struct pgw_load_engine - an engine of the pool
+ * struct pgw_rollout_candidate - an engine of the pool
  * @place: its place in the order that all entries draw alike
  * @version: weights that it runs
  * @loading: it is away for a load, whichever version it loads
@@ -50,7 +52,7 @@
  * @go: out: it may begin
  * @next: out: it is about to be told to
  */
-struct pgw_load_engine {
+struct pgw_rollout_candidate {
     uint64_t place;
     uint64_t version;
     bool loading;
@@ -60,32 +62,33 @@
 };
 
 /**
- * struct pgw_load_window_options - thresholds
+ * struct pgw_rollout_window_options - thresholds
  * @share: engines that load at once, as a part of the pool
  */
-struct pgw_load_window_options {
+struct pgw_rollout_window_options {
     double share;
 };
 
 /* A fifth: weights come slower to each where more load at once. */
-#define PGW_LOAD_WINDOW_OPTIONS_INIT                                          \
+#define PGW_ROLLOUT_WINDOW_OPTIONS_INIT                                       \
     {                                                                         \
         .share = 0.19                                                         \
     }
 
 /**
- * pgw_load_window_size() - how many engines load at once
+ * pgw_rollout_window_size() - how many engines load at once
  * @options: thresholds
  * @count: engines of the pool
  *
  * Not more when time is short: engines that load share a link, so each takes
  * longer then, which makes time shorter still, until nobody serves.
  */
-unsigned pgw_load_window_size(const struct pgw_load_window_options *options,
-                              unsigned count);
+unsigned
+pgw_rollout_window_size(const struct pgw_rollout_window_options *options,
+                        unsigned count);
 
 /**
- * pgw_load_window_open() - who may begin
+ * pgw_rollout_window_select() - who may begin
  * @engines: those that can be reached; sorted in place
  * @count: number of @engines
  * @wanted: newest version
@@ -95,12 +98,14 @@
  *
  * Return: the size of the window, 0: all have loaded.
  */
-unsigned pgw_load_window_open(struct pgw_load_engine *engines, size_t count,
-                              uint64_t wanted,
-                              const struct pgw_load_window_options *options);
+unsigned
+pgw_rollout_window_select(struct pgw_rollout_candidate *engines, size_t count,
+                          uint64_t wanted,
+                          const struct pgw_rollout_window_options *options);
 
 /**
- * pgw_load_window_latest() - when an engine begins that nobody tells to
+ * pgw_rollout_window_latest_start_us() - when an engine begins that nobody
+ * tells to
  * @place: its place among the pool's, from 0 to 1
  * @left_us: until it may not be used any more with the weights that it has
  *
@@ -112,6 +117,6 @@
  *
  * Return: microseconds from now.
  */
-uint64_t pgw_load_window_latest(double place, uint64_t left_us);
+uint64_t pgw_rollout_window_latest_start_us(double place, uint64_t left_us);
 
 #endif
--- a/src/gateway/guard_links.c
+++ b/src/gateway/sidecar_links.c
@@ -1,7 +1,7 @@
 #include "gateway/candidates.h"
-#include "gateway/guard_budget.h"
-#include "gateway/guard_link_state.h"
-#include "gateway/poison.h"
+#include "gateway/crash_quarantine.h"
+#include "gateway/report_budget.h"
+#include "gateway/sidecar_links_internal.h"
 #include "parsleygw/place.h"
 #include "util/log.h"
 #include "util/random.h"
@@ -24,8 +24,8 @@
 #define FRESH_US 2500000
 
 struct pgw_upstream *
-pgw_guard_link_upstream(const struct pgw_guard_links *links,
-                        const char *engine)
+pgw_sidecar_link_upstream(const struct pgw_sidecar_links *links,
+                          const char *engine)
 {
     return pgw_upstream_table_at(pgw_gateway_upstreams(links->gateway),
                                  engine);
@@ -36,7 +36,8 @@
  * heard for some seconds: repeats beyond the bound are worse than a few less.
  */
 static void
-note_entries(struct pgw_guard_links *links, uint32_t entries, uint64_t now_us)
+note_entries(struct pgw_sidecar_links *links, uint32_t entries,
+             uint64_t now_us)
 {
     if (entries >= links->entries ||
         now_us - links->entries_at_us > ENTRIES_HOLD_US) {
@@ -53,11 +54,11 @@
 }
 
 void
-pgw_guard_link_take_part(struct pgw_upstream *upstream, uint64_t key,
-                         uint32_t word, uint64_t now_us)
+pgw_sidecar_link_take_part(struct pgw_upstream *upstream, uint64_t key,
+                           uint32_t word, uint64_t now_us)
 {
     if (word % 2 == 1) {
-        pgw_prefix_memory_note(&upstream->expected, key, now_us);
+        pgw_recent_parts_add(&upstream->expected, key, now_us);
     }
     else {
         pgw_upstream_hold(upstream, key, word / 2);
@@ -65,7 +66,7 @@
 }
 
 struct pgw_upstream_load
-pgw_guard_link_load(const Pgw__EngineState *state)
+pgw_sidecar_link_load(const Pgw__EngineState *state)
 {
     return (struct pgw_upstream_load){
         .running = state->running,
@@ -84,7 +85,7 @@
  * Reports that name no engine are of the one that was named before.
  */
 static bool
-is_for_this_engine(struct guard_link *guard, const Pgw__EngineState *state)
+is_for_this_engine(struct sidecar_link *guard, const Pgw__EngineState *state)
 {
     if (*state->address != '\0') {
         guard->identified = strcmp(state->address, guard->engine) == 0;
@@ -93,11 +94,11 @@
 }
 
 static void
-take_state(struct guard_link *guard, const Pgw__EngineState *state)
+take_state(struct sidecar_link *guard, const Pgw__EngineState *state)
 {
     struct pgw_upstream *upstream =
-        pgw_guard_link_upstream(guard->links, guard->engine);
-    struct pgw_upstream_load load = pgw_guard_link_load(state);
+        pgw_sidecar_link_upstream(guard->links, guard->engine);
+    struct pgw_upstream_load load = pgw_sidecar_link_load(state);
     uint64_t now = pgw_now_us();
 
     if (upstream == NULL || !is_for_this_engine(guard, state)) {
@@ -105,21 +106,21 @@
     }
     note_entries(guard->links, state->entries, now);
     if (guard->on_request) {
-        pgw_guard_probe_take(guard, upstream, state, now);
+        pgw_sidecar_link_take_probe_answer(guard, upstream, state, now);
         return;
     }
     upstream->guarded = true;
     pgw_upstream_note_seen(upstream, now);
     pgw_upstream_table_started(pgw_gateway_upstreams(guard->links->gateway),
                                upstream, state->started_ms);
-    pgw_guard_rollout_take(guard->links, upstream, state, now);
+    pgw_sidecar_links_rollout_take_state(guard->links, upstream, state, now);
     if (state->parts_reset) {
         pgw_upstream_forget_parts(upstream);
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
-        pgw_guard_link_take_part(upstream, state->part_keys[i],
-                                 state->part_words[i], now);
+        pgw_sidecar_link_take_part(upstream, state->part_keys[i],
+                                   state->part_words[i], now);
     }
     pgw_upstream_set_loading(upstream, state->loading || !state->alive,
                              now + (state->alive ? LOADING_MAX_US : FRESH_US));
@@ -127,8 +128,9 @@
         pgw_upstream_take_load(upstream, &load, now);
     }
     else {
-        pgw_poison_crashed(pgw_gateway_poison(guard->links->gateway),
-                           upstream->id, now);
+        pgw_crash_quarantine_add_crash(
+            pgw_gateway_crash_quarantine(guard->links->gateway), upstream->id,
+            now);
     }
     pgw_gateway_pump(guard->links->gateway);
 }
@@ -142,7 +144,8 @@
         take_state(context, (const Pgw__EngineState *)message);
     }
     else if (type == PGW_FRAME_QUOTA_ANSWER) {
-        pgw_guard_quota_take(context, (const Pgw__QuotaAnswer *)message);
+        pgw_sidecar_link_take_quota_answer(context,
+                                           (const Pgw__QuotaAnswer *)message);
     }
     return false;
 }
@@ -150,7 +153,7 @@
 static void
 guard_free(void *data)
 {
-    struct guard_link *guard = data;
+    struct sidecar_link *guard = data;
 
     pgw_timer_stop(guard->links->loop, &guard->timer);
     g_free(guard->engine);
@@ -172,7 +175,7 @@
 /* Only a machine that answers can say that nobody listens: one that is cut off
  * or down says nothing, and its sidecar may be giving orders. */
 static void
-note_refusal(struct guard_link *guard, bool refused)
+note_refusal(struct sidecar_link *guard, bool refused)
 {
     if (!refused) {
         guard->refused_at_us = 0;
@@ -185,13 +188,13 @@
 static void
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
-    struct guard_link *guard = context;
-    struct pgw_guard_links *links = guard->links;
+    struct sidecar_link *guard = context;
+    struct pgw_sidecar_links *links = guard->links;
     struct pgw_upstream *upstream;
 
     note_refusal(guard, pgw_link_was_refused(link));
     guard->link = NULL;
-    upstream = pgw_guard_link_upstream(links, guard->engine);
+    upstream = pgw_sidecar_link_upstream(links, guard->engine);
     if (upstream != NULL) {
         forget_reports(upstream);
         /* Its machine answers, so that its silence would say nothing. */
@@ -202,7 +205,7 @@
     if (links->closing) {
         return;
     }
-    pgw_guard_rollout_post(links);
+    pgw_sidecar_links_rollout_schedule(links);
     pgw_log_info("guard_link_lost", "engine=%s reason=%s", guard->engine,
                  error == NULL ? "closed" : error->message);
     if (!guard->wanted) {
@@ -214,7 +217,7 @@
 }
 
 static void
-say_hello(const struct guard_link *guard)
+say_hello(const struct sidecar_link *guard)
 {
     const struct pgw_gateway *gateway = guard->links->gateway;
     Pgw__Hello hello = PGW__HELLO__INIT;
@@ -231,7 +234,7 @@
 static void
 on_open(struct pgw_link *link, void *context)
 {
-    struct guard_link *guard = context;
+    struct sidecar_link *guard = context;
 
     /*
      * Failure: an entry that started before the sidecars was refused once, and
@@ -243,8 +246,8 @@
     guard->identified = false;
     say_hello(guard);
     memset(guard->told, 0, sizeof(guard->told));
-    pgw_guard_rollout_announce(guard);
-    pgw_guard_rollout_post(guard->links);
+    pgw_sidecar_link_send_target_weights(guard);
+    pgw_sidecar_links_rollout_schedule(guard->links);
 }
 
 static const struct pgw_link_ops link_ops = {
@@ -256,8 +259,8 @@
 static void
 connect_due(struct pgw_timer *timer)
 {
-    struct guard_link *guard =
-        pgw_container_of(timer, struct guard_link, timer);
+    struct sidecar_link *guard =
+        pgw_container_of(timer, struct sidecar_link, timer);
     GError *error = NULL;
 
     if (!guard->wanted) {
@@ -274,11 +277,11 @@
     }
 }
 
-struct guard_link *
-pgw_guard_link_add(struct pgw_guard_links *links,
-                   const struct pgw_upstream *upstream, bool on_request)
+struct sidecar_link *
+pgw_sidecar_link_add(struct pgw_sidecar_links *links,
+                     const struct pgw_upstream *upstream, bool on_request)
 {
-    struct guard_link *guard = g_new0(struct guard_link, 1);
+    struct sidecar_link *guard = g_new0(struct sidecar_link, 1);
 
     guard->links = links;
     guard->engine = g_strdup(upstream->address_text);
@@ -306,7 +309,7 @@
 };
 
 static struct engine_count
-count_engines(const struct pgw_guard_links *links)
+count_engines(const struct pgw_sidecar_links *links)
 {
     struct engine_count count = {0};
 
@@ -325,7 +328,7 @@
 
 /* Entries are spread over the zones as engines are, as far as can be known. */
 static bool
-reports_reach(const struct pgw_guard_links *links,
+reports_reach(const struct pgw_sidecar_links *links,
               const struct engine_count *engines)
 {
     unsigned far =
@@ -334,15 +337,15 @@
             : links->entries * (engines->all - engines->near) / engines->all;
 
     return engines->all <= REPORT_LINKS_MAX &&
-           pgw_guard_reports_reach_far(far, !links->divided);
+           pgw_report_budget_reaches_remote(far, !links->divided);
 }
 
 /* The number of entries has changed. */
 static void
 refresh_run(struct pgw_task *task)
 {
-    struct pgw_guard_links *links =
-        pgw_container_of(task, struct pgw_guard_links, refresh);
+    struct pgw_sidecar_links *links =
+        pgw_container_of(task, struct pgw_sidecar_links, refresh);
     struct engine_count engines;
 
     links->refresh_posted = false;
@@ -351,29 +354,29 @@
     }
     engines = count_engines(links);
     if (reports_reach(links, &engines) == links->divided) {
-        pgw_guard_links_refresh(links);
+        pgw_sidecar_links_refresh(links);
     }
 }
 
-struct pgw_guard_links *
-pgw_guard_links_new(struct pgw_loop *loop, struct pgw_gateway *gateway,
-                    uint16_t port)
+struct pgw_sidecar_links *
+pgw_sidecar_links_new(struct pgw_loop *loop, struct pgw_gateway *gateway,
+                      uint16_t port)
 {
-    struct pgw_guard_links *links = g_new0(struct pgw_guard_links, 1);
+    struct pgw_sidecar_links *links = g_new0(struct pgw_sidecar_links, 1);
 
     links->loop = loop;
     links->gateway = gateway;
     links->port = port;
     links->refresh.run = refresh_run;
-    pgw_guard_rollout_init(links);
-    pgw_gateway_set_sidecars(gateway, &pgw_guard_sidecar_ops, links);
+    pgw_sidecar_links_rollout_init(links);
+    pgw_gateway_set_sidecars(gateway, &pgw_sidecar_links_ops, links);
     links->by_engine =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, guard_free);
     return links;
 }
 
 void
-pgw_guard_links_free(struct pgw_guard_links *links)
+pgw_sidecar_links_free(struct pgw_sidecar_links *links)
 {
     GHashTableIter iter;
     void *value;
@@ -382,7 +385,7 @@
     pgw_gateway_set_sidecars(links->gateway, NULL, NULL);
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct guard_link *guard = value;
+        struct sidecar_link *guard = value;
 
         if (guard->link != NULL) {
             pgw_link_close(guard->link);
@@ -390,19 +393,19 @@
     }
     pgw_loop_run_tasks(links->loop);
     g_hash_table_destroy(links->by_engine);
-    pgw_guard_rollout_dispose(links);
+    pgw_sidecar_links_rollout_dispose(links);
     g_free(links);
 }
 
 static void
-drop_unwanted(struct pgw_guard_links *links)
+drop_unwanted(struct pgw_sidecar_links *links)
 {
     GHashTableIter iter;
     void *value;
 
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct guard_link *guard = value;
+        struct sidecar_link *guard = value;
 
         if (guard->wanted) {
             continue;
@@ -433,7 +436,7 @@
  * from them for seconds. Of one that only answers probes silence says nothing.
  */
 static void
-set_on_request(struct guard_link *guard, struct pgw_upstream *upstream,
+set_on_request(struct sidecar_link *guard, struct pgw_upstream *upstream,
                bool on_request)
 {
     if (guard->on_request == on_request) {
@@ -448,27 +451,27 @@
 }
 
 static void
-refresh_link(struct pgw_guard_links *links, struct pgw_upstream *upstream,
+refresh_link(struct pgw_sidecar_links *links, struct pgw_upstream *upstream,
              const struct reach *reach, uint64_t now_us)
 {
-    struct guard_link *guard =
+    struct sidecar_link *guard =
         g_hash_table_lookup(links->by_engine, upstream->address_text);
     bool reports = upstream->same_zone || reach->reports;
 
     if (guard == NULL) {
         if (reports || reach->probes) {
-            pgw_guard_link_add(links, upstream, !reports);
+            pgw_sidecar_link_add(links, upstream, !reports);
         }
         return;
     }
     guard->wanted =
-        reports || reach->probes || pgw_guard_probe_is_used(guard, now_us);
+        reports || reach->probes || pgw_sidecar_link_is_probed(guard, now_us);
     set_on_request(guard, upstream, !reports);
-    pgw_guard_rollout_announce(guard);
+    pgw_sidecar_link_send_target_weights(guard);
 }
 
 static void
-set_divided(struct pgw_guard_links *links, bool divided)
+set_divided(struct pgw_sidecar_links *links, bool divided)
 {
     if (links->divided == divided) {
         return;
@@ -481,7 +484,7 @@
 }
 
 void
-pgw_guard_links_refresh(struct pgw_guard_links *links)
+pgw_sidecar_links_refresh(struct pgw_sidecar_links *links)
 {
     struct engine_count engines = count_engines(links);
     struct reach reach = {
@@ -497,7 +500,7 @@
     set_divided(links, !reach.reports);
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((struct guard_link *)value)->wanted = false;
+        ((struct sidecar_link *)value)->wanted = false;
     }
     pgw_list_foreach (
         item, pgw_upstream_table_all(pgw_gateway_upstreams(links->gateway))) {
@@ -510,28 +513,28 @@
     }
     drop_unwanted(links);
     pgw_quota_upstreams_changed(pgw_gateway_quota(links->gateway));
-    pgw_guard_rollout_post(links);
+    pgw_sidecar_links_rollout_schedule(links);
 }
 
 void
-pgw_guard_links_announce(struct pgw_guard_links *links)
+pgw_sidecar_links_send_target_weights(struct pgw_sidecar_links *links)
 {
     GHashTableIter iter;
     void *value;
 
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_guard_rollout_announce(value);
+        pgw_sidecar_link_send_target_weights(value);
     }
-    pgw_guard_rollout_post(links);
+    pgw_sidecar_links_rollout_schedule(links);
 }
 
 bool
-pgw_guard_links_is_refused(const struct pgw_guard_links *links,
-                           const struct pgw_upstream *upstream,
-                           uint64_t for_us)
+pgw_sidecar_links_is_refused(const struct pgw_sidecar_links *links,
+                             const struct pgw_upstream *upstream,
+                             uint64_t for_us)
 {
-    const struct guard_link *guard =
+    const struct sidecar_link *guard =
         g_hash_table_lookup(links->by_engine, upstream->address_text);
 
     return guard != NULL && guard->refused_at_us > 0 &&
--- a/src/gateway/guard_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_link_state.h"
+#include "gateway/sidecar_links_internal.h"
 
 /* Where there are more engines than links, one that was not used for so long
  * is closed. */
@@ -9,15 +9,15 @@
 #define LOADING_HOLDS_US 400000
 #define DEAD_HOLDS_US 2000000
 
-static struct guard_link *
-link_of(const struct pgw_guard_links *links,
+static struct sidecar_link *
+link_of(const struct pgw_sidecar_links *links,
         const struct pgw_upstream *upstream)
 {
     return g_hash_table_lookup(links->by_engine, upstream->address_text);
 }
 
 static bool
-is_open(const struct guard_link *guard)
+is_open(const struct sidecar_link *guard)
 {
     return guard != NULL && guard->link != NULL &&
            pgw_link_is_open(guard->link);
@@ -27,7 +27,7 @@
 announce(void *context, const struct pgw_upstream *upstream,
          const struct pgw_announcement *announcement)
 {
-    const struct guard_link *guard = link_of(context, upstream);
+    const struct sidecar_link *guard = link_of(context, upstream);
     Pgw__ExpectedParts message = PGW__EXPECTED_PARTS__INIT;
     Pgw__HeldPart items[PGW_PROMPT_PARTS_MAX];
     Pgw__HeldPart *pointers[PGW_PROMPT_PARTS_MAX];
@@ -50,7 +50,7 @@
 }
 
 static unsigned
-count_probe_links(const struct pgw_guard_links *links)
+count_probe_links(const struct pgw_sidecar_links *links)
 {
     unsigned count = 0;
     GHashTableIter iter;
@@ -58,23 +58,24 @@
 
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((const struct guard_link *)value)->on_request;
+        count += ((const struct sidecar_link *)value)->on_request;
     }
     return count;
 }
 
 /* The open link to a sidecar that is asked something; NULL: there is none. The
  * first question only connects to it. */
-static struct guard_link *
-link_to_ask(struct pgw_guard_links *links, const struct pgw_upstream *upstream)
+static struct sidecar_link *
+link_to_ask(struct pgw_sidecar_links *links,
+            const struct pgw_upstream *upstream)
 {
-    struct guard_link *guard = link_of(links, upstream);
+    struct sidecar_link *guard = link_of(links, upstream);
 
     if (guard == NULL) {
         if (count_probe_links(links) >= PGW_PROBE_LINKS_MAX) {
             return NULL;
         }
-        guard = pgw_guard_link_add(links, upstream, true);
+        guard = pgw_sidecar_link_add(links, upstream, true);
     }
     guard->probed_at_us = pgw_now_us();
     return is_open(guard) ? guard : NULL;
@@ -84,7 +85,7 @@
 probe(void *context, const struct pgw_upstream *upstream, uint64_t probe,
       const uint64_t *keys, size_t count)
 {
-    struct guard_link *guard = link_to_ask(context, upstream);
+    struct sidecar_link *guard = link_to_ask(context, upstream);
     Pgw__EngineProbe message = PGW__ENGINE_PROBE__INIT;
 
     if (guard == NULL) {
@@ -101,7 +102,7 @@
 ask_quota(void *context, const struct pgw_upstream *upstream,
           const struct pgw_quota_ask *ask)
 {
-    struct guard_link *guard = link_to_ask(context, upstream);
+    struct sidecar_link *guard = link_to_ask(context, upstream);
     Pgw__QuotaAsk message = PGW__QUOTA_ASK__INIT;
 
     if (guard == NULL) {
@@ -121,8 +122,8 @@
 }
 
 void
-pgw_guard_quota_take(const struct guard_link *guard,
-                     const Pgw__QuotaAnswer *message)
+pgw_sidecar_link_take_quota_answer(const struct sidecar_link *guard,
+                                   const Pgw__QuotaAnswer *message)
 {
     struct pgw_quota_answer answer = {
         .granted = message->granted,
@@ -131,7 +132,7 @@
         .retry_ms = message->retry_ms,
     };
     const struct pgw_upstream *upstream =
-        pgw_guard_link_upstream(guard->links, guard->engine);
+        pgw_sidecar_link_upstream(guard->links, guard->engine);
 
     if (upstream != NULL) {
         pgw_quota_answered(pgw_gateway_quota(guard->links->gateway), upstream,
@@ -139,14 +140,14 @@
     }
 }
 
-const struct pgw_sidecar_ops pgw_guard_sidecar_ops = {
+const struct pgw_sidecar_ops pgw_sidecar_links_ops = {
     .announce = announce,
     .probe = probe,
     .ask_quota = ask_quota,
 };
 
 bool
-pgw_guard_probe_is_used(const struct guard_link *guard, uint64_t now_us)
+pgw_sidecar_link_is_probed(const struct sidecar_link *guard, uint64_t now_us)
 {
     return guard->on_request && guard->probed_at_us > 0 &&
            now_us - guard->probed_at_us < LINK_IDLE_US;
@@ -155,11 +156,13 @@
 /* Nothing is known from one answer to the next, so the list goes on speaking
  * for the engine, and its sidecar's silence says nothing. */
 void
-pgw_guard_probe_take(struct guard_link *guard, struct pgw_upstream *upstream,
-                     const Pgw__EngineState *state, uint64_t now_us)
+pgw_sidecar_link_take_probe_answer(struct sidecar_link *guard,
+                                   struct pgw_upstream *upstream,
+                                   const Pgw__EngineState *state,
+                                   uint64_t now_us)
 {
     struct pgw_gateway *gateway = guard->links->gateway;
-    struct pgw_upstream_load load = pgw_guard_link_load(state);
+    struct pgw_upstream_load load = pgw_sidecar_link_load(state);
 
     pgw_upstream_table_started(pgw_gateway_upstreams(gateway), upstream,
                                state->started_ms);
@@ -169,8 +172,8 @@
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
-        pgw_guard_link_take_part(upstream, state->part_keys[i],
-                                 state->part_words[i], now_us);
+        pgw_sidecar_link_take_part(upstream, state->part_keys[i],
+                                   state->part_words[i], now_us);
     }
     pgw_upstream_set_loading(
         upstream, state->loading || !state->alive,
--- a/src/gateway/guard_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_link_state.h"
+#include "gateway/sidecar_links_internal.h"
 #include "util/metric.h"
 #include <string.h>
 
@@ -40,7 +40,7 @@
 
 /* Tells an engine of a version, and when to begin at the latest. */
 static void
-tell_weights(struct guard_link *guard, const struct pgw_upstream *upstream,
+tell_weights(struct sidecar_link *guard, const struct pgw_upstream *upstream,
              const char *model, uint64_t version, uint64_t start_in_us)
 {
     Pgw__LoadWeights message = PGW__LOAD_WEIGHTS__INIT;
@@ -64,11 +64,11 @@
 
 /* By itself it begins late; it is told when its turn has come. */
 void
-pgw_guard_rollout_announce(struct guard_link *guard)
+pgw_sidecar_link_send_target_weights(struct sidecar_link *guard)
 {
-    const struct pgw_guard_links *links = guard->links;
+    const struct pgw_sidecar_links *links = guard->links;
     struct pgw_upstream *upstream =
-        pgw_guard_link_upstream(links, guard->engine);
+        pgw_sidecar_link_upstream(links, guard->engine);
 
     if (upstream == NULL || guard->link == NULL || guard->on_request) {
         return;
@@ -87,22 +87,22 @@
             guard, upstream, model, version,
             left == UINT64_MAX
                 ? 0
-                : pgw_load_window_latest((double)place_of(upstream, version) /
-                                             (double)UINT64_MAX,
-                                         left));
+                : pgw_rollout_window_latest_start_us(
+                      (double)place_of(upstream, version) / (double)UINT64_MAX,
+                      left));
     }
 }
 
 /**
  * struct rollout - one model's engines that this entry can reach
  * @model: its name
- * @engines: each with its &struct guard_link
+ * @engines: each with its &struct sidecar_link
  * @count: number of @engines
  * @wanted: newest version
  */
 struct rollout {
     const char *model;
-    struct pgw_load_engine *engines;
+    struct pgw_rollout_candidate *engines;
     size_t count;
     uint64_t wanted;
 };
@@ -114,11 +114,11 @@
  * usual time, and five seconds at least, it is no longer waited for.
  */
 static bool
-is_under_way(const struct pgw_guard_links *links,
+is_under_way(const struct pgw_sidecar_links *links,
              const struct pgw_upstream *upstream)
 {
-    uint64_t limit =
-        MAX(4 * pgw_load_pace_expected(&links->pace), UNDER_WAY_LEAST_US);
+    uint64_t limit = MAX(4 * pgw_weights_load_times_expected_us(&links->pace),
+                         UNDER_WAY_LEAST_US);
 
     return upstream->loads_since_us > 0 &&
            pgw_now_us() - upstream->loads_since_us < limit;
@@ -126,7 +126,8 @@
 
 /* Whether its engine can load now, if it is told to. */
 static bool
-is_reached(const struct guard_link *guard, const struct pgw_upstream *upstream)
+is_reached(const struct sidecar_link *guard,
+           const struct pgw_upstream *upstream)
 {
     return guard->link != NULL && !guard->on_request && upstream != NULL &&
            upstream->guarded && !upstream->leaving && !upstream->removed &&
@@ -135,13 +136,13 @@
 }
 
 static void
-add_engine(struct rollout *rollout, struct guard_link *guard,
+add_engine(struct rollout *rollout, struct sidecar_link *guard,
            const struct pgw_upstream *upstream)
 {
-    const struct pgw_guard_links *links = guard->links;
+    const struct pgw_sidecar_links *links = guard->links;
     uint64_t version = pgw_upstream_version(upstream, rollout->model);
 
-    rollout->engines[rollout->count++] = (struct pgw_load_engine){
+    rollout->engines[rollout->count++] = (struct pgw_rollout_candidate){
         .place = place_of(upstream, rollout->wanted),
         .version = version,
         .loading = is_under_way(links, upstream),
@@ -154,13 +155,13 @@
  * away for the load alone: an engine ends its runs before it loads.
  */
 static void
-tell_window(struct pgw_guard_links *links, const struct rollout *rollout)
+tell_window(struct pgw_sidecar_links *links, const struct rollout *rollout)
 {
     for (size_t i = 0; i < rollout->count; i++) {
-        const struct pgw_load_engine *engine = &rollout->engines[i];
-        struct guard_link *guard = engine->context;
+        const struct pgw_rollout_candidate *engine = &rollout->engines[i];
+        struct sidecar_link *guard = engine->context;
         struct pgw_upstream *upstream =
-            pgw_guard_link_upstream(links, guard->engine);
+            pgw_sidecar_link_upstream(links, guard->engine);
         size_t model = index_of_model(upstream, rollout->model);
 
         upstream->loads_next = engine->next;
@@ -173,12 +174,14 @@
 
 /* Returns how many engines load at once, 0: all have loaded. */
 static unsigned
-open_window(struct pgw_guard_links *links, const char *model, uint64_t wanted)
+open_window(struct pgw_sidecar_links *links, const char *model,
+            uint64_t wanted)
 {
-    struct pgw_load_window_options options = PGW_LOAD_WINDOW_OPTIONS_INIT;
+    struct pgw_rollout_window_options options =
+        PGW_ROLLOUT_WINDOW_OPTIONS_INIT;
     struct rollout rollout = {
         .model = model,
-        .engines = g_new0(struct pgw_load_engine,
+        .engines = g_new0(struct pgw_rollout_candidate,
                           g_hash_table_size(links->by_engine)),
         .wanted = wanted,
     };
@@ -192,24 +195,24 @@
     }
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct guard_link *guard = value;
+        struct sidecar_link *guard = value;
         const struct pgw_upstream *upstream =
-            pgw_guard_link_upstream(links, guard->engine);
+            pgw_sidecar_link_upstream(links, guard->engine);
 
         if (is_reached(guard, upstream) &&
             index_of_model(upstream, model) < upstream->model_count) {
             add_engine(&rollout, guard, upstream);
         }
     }
-    size =
-        pgw_load_window_open(rollout.engines, rollout.count, wanted, &options);
+    size = pgw_rollout_window_select(rollout.engines, rollout.count, wanted,
+                                     &options);
     tell_window(links, &rollout);
     g_free(rollout.engines);
     return size;
 }
 
 static void
-open_windows(struct pgw_guard_links *links)
+open_windows(struct pgw_sidecar_links *links)
 {
     unsigned widest = 0;
     GHashTableIter iter;
@@ -224,7 +227,8 @@
     }
     pgw_metric_gauge_set(&window_size, widest);
     pgw_metric_gauge_set(&load_expected_ms,
-                         pgw_load_pace_expected(&links->pace) / 1000);
+                         pgw_weights_load_times_expected_us(&links->pace) /
+                             1000);
     if (widest > 0) {
         /* An engine that stands still is not waited for without end. */
         pgw_timer_start(links->loop, &links->window_timer, WINDOW_US);
@@ -235,21 +239,22 @@
 window_due(struct pgw_timer *timer)
 {
     open_windows(
-        pgw_container_of(timer, struct pgw_guard_links, window_timer));
+        pgw_container_of(timer, struct pgw_sidecar_links, window_timer));
 }
 
 /* Once for all that comes in a turn of the loop. */
 void
-pgw_guard_rollout_post(struct pgw_guard_links *links)
+pgw_sidecar_links_rollout_schedule(struct pgw_sidecar_links *links)
 {
     pgw_timer_start(links->loop, &links->window_timer, 0);
 }
 
 /* The weights that its engine runs, and whether it is away for others. */
 void
-pgw_guard_rollout_take(struct pgw_guard_links *links,
-                       struct pgw_upstream *upstream,
-                       const Pgw__EngineState *state, uint64_t now_us)
+pgw_sidecar_links_rollout_take_state(struct pgw_sidecar_links *links,
+                                     struct pgw_upstream *upstream,
+                                     const Pgw__EngineState *state,
+                                     uint64_t now_us)
 {
     bool loads = state->alive && state->loading;
     bool newer = false;
@@ -261,12 +266,13 @@
                                  state->models[i]->version);
     }
     if (!loads && newer && upstream->loads_since_us > 0) {
-        pgw_load_pace_note(&links->pace, now_us - upstream->loads_since_us);
+        pgw_weights_load_times_add(&links->pace,
+                                   now_us - upstream->loads_since_us);
         pgw_gateway_set_load(links->gateway,
-                             pgw_load_pace_expected(&links->pace));
+                             pgw_weights_load_times_expected_us(&links->pace));
     }
     if (newer || loads != (upstream->loads_since_us > 0)) {
-        pgw_guard_rollout_post(links);
+        pgw_sidecar_links_rollout_schedule(links);
     }
     if (!loads) {
         upstream->loads_since_us = 0;
@@ -277,7 +283,7 @@
 }
 
 void
-pgw_guard_rollout_init(struct pgw_guard_links *links)
+pgw_sidecar_links_rollout_init(struct pgw_sidecar_links *links)
 {
     links->window_timer.on_due = window_due;
     pgw_metric_register_gauge(&window_size);
@@ -285,7 +291,7 @@
 }
 
 void
-pgw_guard_rollout_dispose(struct pgw_guard_links *links)
+pgw_sidecar_links_rollout_dispose(struct pgw_sidecar_links *links)
 {
     pgw_timer_stop(links->loop, &links->window_timer);
 }
--- a/src/gateway/unguarded.c
+++ b/src/gateway/sidecarless.c
@@ -1,4 +1,4 @@
-#include "gateway/unguarded.h"
+#include "gateway/sidecarless.h"
 #include "util/log.h"
 #include <string.h>
 
@@ -14,18 +14,18 @@
  */
 struct ward {
     char *id;
-    struct pgw_engine_guard *guard;
+    struct pgw_engine_sidecar *guard;
 };
 
 /*
  * @wards: id -> &struct ward
  * @token_asked: a fencing token is on its way, for all of them
  */
-struct pgw_unguarded {
+struct pgw_sidecarless {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
-    struct pgw_guard_links *links;
-    struct pgw_unguarded_options options;
+    struct pgw_sidecar_links *links;
+    struct pgw_sidecarless_options options;
     char *instance;
     struct pgw_lease lease;
     GHashTable *wards;
@@ -39,7 +39,7 @@
 {
     struct ward *ward = data;
 
-    pgw_engine_guard_free(ward->guard);
+    pgw_engine_sidecar_free(ward->guard);
     g_free(ward->id);
     g_free(ward);
 }
@@ -47,7 +47,7 @@
 static void
 get_token(void *context)
 {
-    struct pgw_unguarded *self = context;
+    struct pgw_sidecarless *self = context;
 
     if (!self->token_asked) {
         self->token_asked = true;
@@ -58,13 +58,13 @@
 static bool
 may_order(void *context)
 {
-    const struct pgw_unguarded *self = context;
+    const struct pgw_sidecarless *self = context;
 
     return pgw_lease_holds(&self->lease, pgw_boot_now_us());
 }
 
 static uint64_t
-wanted_version(const struct pgw_unguarded *self,
+wanted_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
     return pgw_gateway_weights(self->gateway, upstream->models[model].model);
@@ -72,7 +72,7 @@
 
 /* Whether some of its weights are known to be older than the named ones. */
 static bool
-is_behind(const struct pgw_unguarded *self,
+is_behind(const struct pgw_sidecarless *self,
           const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < upstream->model_count; i++) {
@@ -86,20 +86,20 @@
 }
 
 static bool
-needs_orders(const struct pgw_unguarded *self,
+needs_orders(const struct pgw_sidecarless *self,
              const struct pgw_upstream *upstream)
 {
     return upstream->same_zone && !upstream->guarded && !upstream->leaving &&
-           !upstream->removed && upstream->lapsed_until_us == 0 &&
+           !upstream->removed && upstream->delisted_until_us == 0 &&
            is_behind(self, upstream) &&
-           pgw_guard_links_is_refused(self->links, upstream,
-                                      self->options.refused_us);
+           pgw_sidecar_links_is_refused(self->links, upstream,
+                                        self->options.refused_us);
 }
 
 static struct ward *
-ward_new(struct pgw_unguarded *self, const struct pgw_upstream *upstream)
+ward_new(struct pgw_sidecarless *self, const struct pgw_upstream *upstream)
 {
-    struct pgw_engine_guard_options options = {
+    struct pgw_engine_sidecar_options options = {
         .instance = self->instance,
         .zone = upstream->zone,
         .engine = upstream->address,
@@ -113,7 +113,7 @@
 
     ward->id = g_strdup(upstream->id);
     /* Without a listener nothing can fail. */
-    ward->guard = pgw_engine_guard_new(self->loop, &options, NULL);
+    ward->guard = pgw_engine_sidecar_new(self->loop, &options, NULL);
     g_hash_table_insert(self->wards, ward->id, ward);
     pgw_log_info("unguarded", "upstream=%s engine=%s", upstream->id,
                  upstream->address_text);
@@ -121,7 +121,7 @@
 }
 
 static void
-name_weights(struct pgw_unguarded *self, struct ward *ward,
+name_weights(struct pgw_sidecarless *self, struct ward *ward,
              const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < upstream->model_count; i++) {
@@ -129,16 +129,16 @@
 
         if (version > 0) {
             /* It has waited for seconds by now: it begins at once. */
-            pgw_engine_guard_name_weights(ward->guard,
-                                          upstream->models[i].model, version,
-                                          0, upstream->id);
+            pgw_engine_sidecar_set_target_weights(ward->guard,
+                                                  upstream->models[i].model,
+                                                  version, 0, upstream->id);
         }
     }
 }
 
 /* Those that have loaded, left or got a sidecar need nobody any more. */
 static void
-drop_wards(struct pgw_unguarded *self, bool all)
+drop_wards(struct pgw_sidecarless *self, bool all)
 {
     const struct pgw_upstream_table *table =
         pgw_gateway_upstreams(self->gateway);
@@ -159,7 +159,7 @@
 
 /* Returns whether an engine needs orders. */
 static bool
-look(struct pgw_unguarded *self, bool holds)
+look(struct pgw_sidecarless *self, bool holds)
 {
     bool any = false;
 
@@ -186,9 +186,9 @@
 }
 
 static void
-step_lease(struct pgw_unguarded *self)
+step_lease(struct pgw_sidecarless *self)
 {
-    const struct pgw_unguarded_store *store = self->options.store;
+    const struct pgw_sidecarless_store *store = self->options.store;
     void *context = self->options.context;
 
     switch (pgw_lease_step(&self->lease, pgw_boot_now_us())) {
@@ -207,7 +207,7 @@
 }
 
 static void
-tick(struct pgw_unguarded *self)
+tick(struct pgw_sidecarless *self)
 {
     bool holds = pgw_lease_holds(&self->lease, pgw_boot_now_us());
 
@@ -224,19 +224,19 @@
 static void
 look_due(struct pgw_timer *timer)
 {
-    struct pgw_unguarded *self =
-        pgw_container_of(timer, struct pgw_unguarded, timer);
+    struct pgw_sidecarless *self =
+        pgw_container_of(timer, struct pgw_sidecarless, timer);
 
     tick(self);
     pgw_timer_start(self->loop, &self->timer, LOOK_US);
 }
 
-struct pgw_unguarded *
-pgw_unguarded_new(struct pgw_loop *loop, struct pgw_gateway *gateway,
-                  struct pgw_guard_links *links,
-                  const struct pgw_unguarded_options *options)
+struct pgw_sidecarless *
+pgw_sidecarless_new(struct pgw_loop *loop, struct pgw_gateway *gateway,
+                    struct pgw_sidecar_links *links,
+                    const struct pgw_sidecarless_options *options)
 {
-    struct pgw_unguarded *self = g_new0(struct pgw_unguarded, 1);
+    struct pgw_sidecarless *self = g_new0(struct pgw_sidecarless, 1);
 
     self->loop = loop;
     self->gateway = gateway;
@@ -252,7 +252,7 @@
 }
 
 void
-pgw_unguarded_free(struct pgw_unguarded *unguarded)
+pgw_sidecarless_free(struct pgw_sidecarless *unguarded)
 {
     pgw_timer_stop(unguarded->loop, &unguarded->timer);
     g_hash_table_destroy(unguarded->wards);
@@ -261,9 +261,9 @@
 }
 
 void
-pgw_unguarded_take_read(struct pgw_unguarded *unguarded,
-                        enum pgw_lease_result result, bool mine,
-                        uint64_t number, uint64_t revision)
+pgw_sidecarless_take_read(struct pgw_sidecarless *unguarded,
+                          enum pgw_lease_result result, bool mine,
+                          uint64_t number, uint64_t revision)
 {
     pgw_lease_take_read(&unguarded->lease, result, mine, number, revision,
                         pgw_boot_now_us());
@@ -271,8 +271,8 @@
 }
 
 void
-pgw_unguarded_take_write(struct pgw_unguarded *unguarded,
-                         enum pgw_lease_result result, uint64_t revision)
+pgw_sidecarless_take_write(struct pgw_sidecarless *unguarded,
+                           enum pgw_lease_result result, uint64_t revision)
 {
     pgw_lease_take_write(&unguarded->lease, result, revision,
                          pgw_boot_now_us());
@@ -280,7 +280,7 @@
 }
 
 void
-pgw_unguarded_take_token(struct pgw_unguarded *unguarded, uint64_t token)
+pgw_sidecarless_take_token(struct pgw_sidecarless *unguarded, uint64_t token)
 {
     GHashTableIter iter;
     gpointer value;
@@ -288,6 +288,6 @@
     unguarded->token_asked = false;
     g_hash_table_iter_init(&iter, unguarded->wards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_engine_guard_take_token(((struct ward *)value)->guard, token);
+        pgw_engine_sidecar_take_token(((struct ward *)value)->guard, token);
     }
 }
--- a/src/gateway/named_weights.c
+++ b/src/gateway/target_weights.c
@@ -1,34 +1,34 @@
-#include "gateway/named_weights.h"
+#include "gateway/target_weights.h"
 #include <string.h>
 
 uint64_t
-pgw_named_weights_newest(const struct pgw_named_weights *weights)
+pgw_target_weights_newest(const struct pgw_target_weights *weights)
 {
     return weights->count == 0 ? 0
                                : weights->named[weights->count - 1].version;
 }
 
 bool
-pgw_named_weights_add(struct pgw_named_weights *weights, uint64_t version,
-                      uint64_t at_us)
+pgw_target_weights_add(struct pgw_target_weights *weights, uint64_t version,
+                       uint64_t at_us)
 {
-    if (version <= pgw_named_weights_newest(weights)) {
+    if (version <= pgw_target_weights_newest(weights)) {
         return false;
     }
-    if (weights->count == PGW_NAMED_WEIGHTS_MAX) {
+    if (weights->count == PGW_TARGET_WEIGHTS_MAX) {
         /* The time of the oldest one runs out first. */
         memmove(weights->named, weights->named + 1,
-                (PGW_NAMED_WEIGHTS_MAX - 1) * sizeof(weights->named[0]));
+                (PGW_TARGET_WEIGHTS_MAX - 1) * sizeof(weights->named[0]));
         weights->count--;
     }
     weights->named[weights->count++] =
-        (struct pgw_named_version){.version = version, .at_us = at_us};
+        (struct pgw_target_version){.version = version, .at_us = at_us};
     return true;
 }
 
 uint64_t
-pgw_named_weights_least(const struct pgw_named_weights *weights,
-                        uint64_t limit_us, uint64_t now_us)
+pgw_target_weights_oldest_usable(const struct pgw_target_weights *weights,
+                                 uint64_t limit_us, uint64_t now_us)
 {
     uint64_t least = 0;
 
@@ -41,8 +41,9 @@
 }
 
 uint64_t
-pgw_named_weights_left(const struct pgw_named_weights *weights,
-                       uint64_t version, uint64_t limit_us, uint64_t now_us)
+pgw_target_weights_usable_for_us(const struct pgw_target_weights *weights,
+                                 uint64_t version, uint64_t limit_us,
+                                 uint64_t now_us)
 {
     for (size_t i = 0; i < weights->count; i++) {
         if (weights->named[i].version > version) {
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -344,7 +344,7 @@
     upstream->slots = MAX(facts->slots, 1);
     upstream->revision = facts->revision;
     upstream->displaced = false;
-    upstream->lapsed_until_us = 0;
+    upstream->delisted_until_us = 0;
     /*
      * Failure: an old copy of the list arrives late and says "ready" of an
      * upstream that is leaving. Symptom: it is given requests that it drops.
@@ -421,7 +421,8 @@
     if (upstream->leaving || upstream->removed || upstream->displaced) {
         return false;
     }
-    if (upstream->lapsed_until_us > 0 && now_us >= upstream->lapsed_until_us) {
+    if (upstream->delisted_until_us > 0 &&
+        now_us >= upstream->delisted_until_us) {
         return false;
     }
     return !upstream->loading || now_us >= upstream->loading_until_us;
@@ -534,7 +535,7 @@
 {
     if (tokens == 0) {
         g_hash_table_remove(upstream->held, &key);
-        pgw_prefix_memory_forget(&upstream->expected, key);
+        pgw_recent_parts_remove(&upstream->expected, key);
         return;
     }
     g_hash_table_replace(upstream->held, g_memdup2(&key, sizeof(key)),
@@ -545,7 +546,7 @@
 pgw_upstream_forget_parts(struct pgw_upstream *upstream)
 {
     g_hash_table_remove_all(upstream->held);
-    pgw_prefix_memory_clear(&upstream->expected);
+    pgw_recent_parts_clear(&upstream->expected);
 }
 
 bool
@@ -560,9 +561,9 @@
         return true;
     }
     return expected &&
-           pgw_prefix_memory_has(&upstream->expected, key,
-                                 upstream->guarded ? now_us - EXPECTED_US
-                                                   : now_us - GUESS_US);
+           pgw_recent_parts_has(&upstream->expected, key,
+                                upstream->guarded ? now_us - EXPECTED_US
+                                                  : now_us - GUESS_US);
 }
 
 void
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -1,7 +1,7 @@
 #ifndef PGW_GATEWAY_UPSTREAM_TABLE_H
 #define PGW_GATEWAY_UPSTREAM_TABLE_H
 
-#include "gateway/prefix_memory.h"
+#include "gateway/recent_parts.h"
 #include "util/address.h"
 #include "util/list.h"
 #include <glib.h>
@@ -94,9 +94,9 @@
  *   of one that ran here; what was sent before has nobody to answer it, 0:
  * never
  * @removed: no longer in the list
- * @lapsed_at_us: when it was dropped from the list
- * @lapsed_until_us: dropped from the list while the platform's store was away;
- *   counts as there until then, 0: is in the list
+ * @delisted_at_us: when it was dropped from the list
+ * @delisted_until_us: dropped from the list while the platform's store was
+ * away; counts as there until then, 0: is in the list
  * @loading: its sidecar says that it changes its weights, or is not alive
  * @loads_since_us: since when it is away for a load, 0: it is not
  * @loads_next: it is among the next ones: what runs long there delays it
@@ -144,8 +144,8 @@
     bool displaced;
     uint64_t ended_at_us;
     bool removed;
-    uint64_t lapsed_at_us;
-    uint64_t lapsed_until_us;
+    uint64_t delisted_at_us;
+    uint64_t delisted_until_us;
     uint64_t cold_until_us;
     struct pgw_model_version models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
@@ -174,7 +174,7 @@
     uint32_t refusals;
     uint64_t full_until_us;
     GHashTable *held;
-    struct pgw_prefix_memory expected;
+    struct pgw_recent_parts expected;
 };
 
 /**
--- a/tests/property/prop_poison.cc
+++ b/tests/property/prop_crash_quarantine.cc
@@ -4,7 +4,7 @@
 // same crash and the same good end some 200,000 times a second.
 #include "prop_support.h"
 extern "C" {
-#include "gateway/poison.h"
+#include "gateway/crash_quarantine.h"
 }
 #include <deque>
 
@@ -19,7 +19,7 @@
 struct entry {
     fleet *all;
     unsigned index;
-    pgw_poison *poison;
+    pgw_crash_quarantine *poison;
 };
 
 // Words on their way: to whom, and what.
@@ -55,7 +55,7 @@
     word next = all->words[which];
 
     all->words.erase(all->words.begin() + (long)which);
-    pgw_poison_add(all->list[next.to].poison, &next.crashed, 1, now);
+    pgw_crash_quarantine_merge(all->list[next.to].poison, &next.crashed, 1, now);
 }
 
 void
@@ -67,13 +67,13 @@
 
     switch (number / 64 % 4) {
     case 0:
-        pgw_poison_broke(at->poison, &fingerprint, name, now);
+        pgw_crash_quarantine_add_interrupted(at->poison, &fingerprint, name, now);
         break;
     case 1:
-        pgw_poison_crashed(at->poison, name, now);
+        pgw_crash_quarantine_add_crash(at->poison, name, now);
         break;
     case 2:
-        pgw_poison_ended_well(at->poison, &fingerprint);
+        pgw_crash_quarantine_clear(at->poison, &fingerprint);
         break;
     default:
         if (!all->words.empty()) {
@@ -88,7 +88,7 @@
 main()
 {
     bool good = rc::check("words come to rest", [] {
-        pgw_poison_options options = PGW_POISON_OPTIONS_INIT;
+        pgw_crash_quarantine_options options = PGW_CRASH_QUARANTINE_OPTIONS_INIT;
         // A crash and a good end of each upstream and request, at each entry,
         // told to each other one.
         uint64_t most = 2 * 2 * upstreams * entries * (entries - 1);
@@ -96,8 +96,8 @@
         fleet all;
 
         for (unsigned i = 0; i < entries; i++) {
-            all.list[i] = {&all, i, pgw_poison_new(&options)};
-            pgw_poison_subscribe(all.list[i].poison, on_crashed, &all.list[i]);
+            all.list[i] = {&all, i, pgw_crash_quarantine_new(&options)};
+            pgw_crash_quarantine_subscribe(all.list[i].poison, on_crashed, &all.list[i]);
         }
         for (uint32_t number : random_script(300)) {
             act(&all, number, now);
@@ -108,7 +108,7 @@
         }
         RC_ASSERT(all.told <= most);
         for (entry &each : all.list) {
-            pgw_poison_free(each.poison);
+            pgw_crash_quarantine_free(each.poison);
         }
     });
     return good ? 0 : 1;
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -1,6 +1,6 @@
 #include "scene_gateway.h"
 
-#include "gateway/engine_guard.h"
+#include "gateway/engine_sidecar.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <poll.h>
@@ -223,7 +223,7 @@
 
 struct pgw_link *
 scene_connect_entry(struct pgw_loop *loop,
-                    const struct pgw_engine_guard *guard,
+                    const struct pgw_engine_sidecar *guard,
                     const struct pgw_link_ops *ops)
 {
     struct pgw_address address;
@@ -232,7 +232,7 @@
     char text[32];
 
     g_snprintf(text, sizeof(text), LOOPBACK ":%u",
-               pgw_engine_guard_port(guard));
+               pgw_engine_sidecar_port(guard));
     g_assert_true(pgw_address_parse(&address, text, NULL));
     link = pgw_link_connect(loop, &address, ops, NULL, NULL);
     hello.instance = (char *)"e";
@@ -250,9 +250,9 @@
         .instance = "gateway",
         .zone = "a",
         .codec = &platform_codec,
-        .budgets = PGW_BUDGETS_OPTIONS_INIT,
+        .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
-        .poison = PGW_POISON_OPTIONS_INIT,
+        .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
         .wait_share = 0.9,
         .hedge_share = 1000,
         .last_bytes_us = last_bytes_us,
--- a/tests/unit/scene_gateway.h
+++ b/tests/unit/scene_gateway.h
@@ -77,11 +77,11 @@
 /** scene_loop_main() - a thread's function that runs a &struct pgw_loop */
 void *scene_loop_main(void *loop);
 
-struct pgw_engine_guard;
+struct pgw_engine_sidecar;
 
 /** scene_connect_entry() - connect to a guard as an entry; on its loop */
 struct pgw_link *scene_connect_entry(struct pgw_loop *loop,
-                                     const struct pgw_engine_guard *guard,
+                                     const struct pgw_engine_sidecar *guard,
                                      const struct pgw_link_ops *ops);
 
 /** scene_run() - run a function on the gateway's thread and wait for it */
--- a/tests/unit/test_announced.c
+++ b/tests/unit/test_announced_prompts.c
@@ -1,33 +1,34 @@
-#include "gateway/announced.h"
+#include "gateway/announced_prompts.h"
 
 #define MS UINT64_C(1000)
 
 static void
-expect_unread(const struct pgw_announced *announced, uint64_t tokens,
+expect_unread(const struct pgw_announced_prompts *announced, uint64_t tokens,
               uint32_t prompts)
 {
-    struct pgw_unread unread = pgw_announced_unread(announced);
+    struct pgw_unread unread = pgw_announced_prompts_unread(announced);
 
     g_assert_cmpuint(unread.tokens, ==, tokens);
     g_assert_cmpuint(unread.prompts, ==, prompts);
 }
 
 static void
-report(struct pgw_announced *announced, const struct pgw_engine_run *runs,
-       size_t count, uint32_t waiting, uint64_t now_us)
+report(struct pgw_announced_prompts *announced,
+       const struct pgw_engine_run *runs, size_t count, uint32_t waiting,
+       uint64_t now_us)
 {
-    pgw_announced_report(announced,
-                         &(struct pgw_engine_work){.runs = runs,
-                                                   .run_count = count,
-                                                   .waiting = waiting},
-                         now_us);
+    pgw_announced_prompts_report(announced,
+                                 &(struct pgw_engine_work){.runs = runs,
+                                                           .run_count = count,
+                                                           .waiting = waiting},
+                                 now_us);
 }
 
 static void
-report_unlisted(struct pgw_announced *announced, uint32_t reading,
+report_unlisted(struct pgw_announced_prompts *announced, uint32_t reading,
                 uint32_t waiting, uint64_t now_us)
 {
-    pgw_announced_report(
+    pgw_announced_prompts_report(
         announced,
         &(struct pgw_engine_work){.reading = reading, .waiting = waiting},
         now_us);
@@ -37,44 +38,46 @@
 static void
 test_waits_reads_ends(void)
 {
-    struct pgw_announced announced;
-    struct pgw_engine_run reading = {.id = pgw_announced_id("a")};
+    struct pgw_announced_prompts announced;
+    struct pgw_engine_run reading = {.id = pgw_announced_prompts_id("a")};
     struct pgw_engine_run answering = {.id = reading.id, .events = 1};
 
-    pgw_announced_init(&announced);
-    pgw_announced_add(&announced, pgw_announced_id("a"), 5000, 0);
-    pgw_announced_add(&announced, pgw_announced_id("b"), 9000, 0);
+    pgw_announced_prompts_init(&announced);
+    pgw_announced_prompts_add(&announced, pgw_announced_prompts_id("a"), 5000,
+                              0);
+    pgw_announced_prompts_add(&announced, pgw_announced_prompts_id("b"), 9000,
+                              0);
     expect_unread(&announced, 14000, 2);
     report(&announced, &reading, 1, 1, 100 * MS);
     expect_unread(&announced, 14000, 2);
     report(&announced, &answering, 1, 1, 200 * MS);
     expect_unread(&announced, 9000, 1);
-    reading.id = pgw_announced_id("b");
+    reading.id = pgw_announced_prompts_id("b");
     report(&announced, &reading, 1, 0, 300 * MS);
     expect_unread(&announced, 9000, 1);
     report(&announced, NULL, 0, 0, 400 * MS);
     expect_unread(&announced, 0, 0);
-    pgw_announced_dispose(&announced);
+    pgw_announced_prompts_dispose(&announced);
 }
 
 /* Guards against prompts that count for good although they never got there. */
 static void
 test_lost_on_its_way(void)
 {
-    struct pgw_announced announced;
+    struct pgw_announced_prompts announced;
 
-    pgw_announced_init(&announced);
-    pgw_announced_add(&announced, 1, 5000, 0);
+    pgw_announced_prompts_init(&announced);
+    pgw_announced_prompts_add(&announced, 1, 5000, 0);
     report(&announced, NULL, 0, 0, 20 * MS);
     expect_unread(&announced, 5000, 1);
     report(&announced, NULL, 0, 0, 100 * MS);
     expect_unread(&announced, 0, 0);
-    pgw_announced_add(&announced, 2, 5000, 0);
+    pgw_announced_prompts_add(&announced, 2, 5000, 0);
     report(&announced, NULL, 0, 3, 2900 * MS);
     expect_unread(&announced, 5000, 1);
     report(&announced, NULL, 0, 3, 3000 * MS);
     expect_unread(&announced, 0, 0);
-    pgw_announced_dispose(&announced);
+    pgw_announced_prompts_dispose(&announced);
 }
 
 /* Guards against short prompts sent behind a long one that the engine reads
@@ -82,12 +85,12 @@
 static void
 test_unlisted(void)
 {
-    struct pgw_announced announced;
+    struct pgw_announced_prompts announced;
     struct pgw_engine_run second = {.id = 2, .events = 1};
 
-    pgw_announced_init(&announced);
-    pgw_announced_add(&announced, 1, 5000, 0);
-    pgw_announced_add(&announced, 2, 9000, 10 * MS);
+    pgw_announced_prompts_init(&announced);
+    pgw_announced_prompts_add(&announced, 1, 5000, 0);
+    pgw_announced_prompts_add(&announced, 2, 9000, 10 * MS);
     report_unlisted(&announced, 1, 1, 100 * MS);
     expect_unread(&announced, 14000, 2);
     /* A short one takes the place in the queue. */
@@ -96,31 +99,32 @@
     expect_unread(&announced, 9000, 1);
     report(&announced, &second, 1, 0, 600 * MS);
     expect_unread(&announced, 0, 0);
-    pgw_announced_add(&announced, 4, 5000, 600 * MS);
-    pgw_announced_end(&announced, 4);
+    pgw_announced_prompts_add(&announced, 4, 5000, 600 * MS);
+    pgw_announced_prompts_end(&announced, 4);
     expect_unread(&announced, 0, 0);
-    pgw_announced_add(&announced, 3, 5000, 690 * MS);
+    pgw_announced_prompts_add(&announced, 3, 5000, 690 * MS);
     report_unlisted(&announced, 0, 0, 700 * MS);
     expect_unread(&announced, 5000, 1);
     report_unlisted(&announced, 0, 0, 800 * MS);
     expect_unread(&announced, 0, 0);
-    pgw_announced_dispose(&announced);
+    pgw_announced_prompts_dispose(&announced);
 }
 
 /* Guards against a flood of announcements that fills the memory. */
 static void
 test_bounded(void)
 {
-    struct pgw_announced announced;
+    struct pgw_announced_prompts announced;
 
-    pgw_announced_init(&announced);
+    pgw_announced_prompts_init(&announced);
     for (uint64_t i = 0; i < 100000; i++) {
-        pgw_announced_add(&announced, i, 2000, 0);
+        pgw_announced_prompts_add(&announced, i, 2000, 0);
     }
-    g_assert_cmpuint(pgw_announced_unread(&announced).prompts, <=, 1024);
-    pgw_announced_clear(&announced);
+    g_assert_cmpuint(pgw_announced_prompts_unread(&announced).prompts, <=,
+                     1024);
+    pgw_announced_prompts_clear(&announced);
     expect_unread(&announced, 0, 0);
-    pgw_announced_dispose(&announced);
+    pgw_announced_prompts_dispose(&announced);
 }
 
 int
--- a/tests/unit/test_lapse.c
+++ b/tests/unit/test_delisted.c
@@ -1,9 +1,9 @@
-#include "gateway/lapse.h"
+#include "gateway/delisted.h"
 
 #define NOW UINT64_C(100000000)
 #define SECOND UINT64_C(1000000)
 
-static const struct pgw_lapse_options options = {
+static const struct pgw_delisted_options options = {
     .usual_us = SECOND,
     .many_us = 3 * SECOND / 2,
     .trouble_us = 11 * SECOND / 5,
@@ -45,9 +45,9 @@
         char id[8];
 
         g_snprintf(id, sizeof(id), "u%u", i);
-        pgw_lapse_drop(table, pgw_upstream_table_find(table, id), false,
-                       &options, now);
-        pgw_lapse_sweep(table, now);
+        pgw_delisted_add(table, pgw_upstream_table_find(table, id), false,
+                         &options, now);
+        pgw_delisted_sweep(table, now);
         if (i >= 2) {
             g_snprintf(id, sizeof(id), "u%u", i - 2);
             g_assert_null(pgw_upstream_table_find(table, id));
@@ -67,13 +67,13 @@
     struct pgw_upstream *first = put(table, 0);
     struct pgw_upstream *second = put(table, 1);
 
-    pgw_lapse_drop(table, first, true, &options, NOW);
-    pgw_lapse_drop(table, second, true, &options, NOW + SECOND / 2);
-    g_assert_false(pgw_lapse_sweep(table, NOW + 2 * SECOND));
+    pgw_delisted_add(table, first, true, &options, NOW);
+    pgw_delisted_add(table, second, true, &options, NOW + SECOND / 2);
+    g_assert_false(pgw_delisted_sweep(table, NOW + 2 * SECOND));
     put(table, 1);
-    g_assert_true(pgw_lapse_sweep(table, NOW + 11 * SECOND / 5));
+    g_assert_true(pgw_delisted_sweep(table, NOW + 11 * SECOND / 5));
     g_assert_null(pgw_upstream_table_find(table, "u0"));
-    g_assert_false(pgw_lapse_sweep(table, NOW + 9 * SECOND));
+    g_assert_false(pgw_delisted_sweep(table, NOW + 9 * SECOND));
     g_assert_nonnull(pgw_upstream_table_find(table, "u1"));
     pgw_upstream_table_free(table);
 }
@@ -89,11 +89,11 @@
     for (unsigned i = 0; i < 6; i++) {
         upstreams[i] = put(table, i);
     }
-    pgw_lapse_drop(table, upstreams[0], false, &options, NOW);
-    pgw_lapse_drop(table, upstreams[1], false, &options, NOW);
-    g_assert_false(pgw_lapse_sweep(table, NOW + SECOND));
-    pgw_lapse_drop(table, upstreams[2], false, &options, NOW + SECOND);
-    g_assert_true(pgw_lapse_sweep(table, NOW + 3 * SECOND / 2));
+    pgw_delisted_add(table, upstreams[0], false, &options, NOW);
+    pgw_delisted_add(table, upstreams[1], false, &options, NOW);
+    g_assert_false(pgw_delisted_sweep(table, NOW + SECOND));
+    pgw_delisted_add(table, upstreams[2], false, &options, NOW + SECOND);
+    g_assert_true(pgw_delisted_sweep(table, NOW + 3 * SECOND / 2));
     g_assert_null(pgw_upstream_table_find(table, "u0"));
     g_assert_nonnull(pgw_upstream_table_find(table, "u2"));
     pgw_upstream_table_free(table);
--- a/tests/unit/test_engine_guard.c
+++ b/tests/unit/test_engine_sidecar.c
@@ -2,7 +2,7 @@
 #include "scene_gateway.h"
 
 #include "codec.h"
-#include "gateway/engine_guard.h"
+#include "gateway/engine_sidecar.h"
 #include "libparsleygw/link.h"
 #include "util/log.h"
 #include <arpa/inet.h>
@@ -24,7 +24,7 @@
  */
 struct stage {
     struct pgw_loop *loop;
-    struct pgw_engine_guard *guard;
+    struct pgw_engine_sidecar *guard;
     struct pgw_link *entry;
     pthread_t thread;
     int engine;
@@ -47,7 +47,7 @@
 {
     (void)context;
     stage->tokens++;
-    pgw_engine_guard_take_token(stage->guard, 40 + stage->tokens);
+    pgw_engine_sidecar_take_token(stage->guard, 40 + stage->tokens);
 }
 
 static bool
@@ -93,7 +93,7 @@
 static void
 stage_open(void)
 {
-    struct pgw_engine_guard_options options = {
+    struct pgw_engine_sidecar_options options = {
         .instance = "guard",
         .zone = "a",
         .codec = &platform_engine_codec,
@@ -105,7 +105,7 @@
     stage->engine = scene_listen(&options.engine);
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
     stage->loop = pgw_loop_new(NULL);
-    stage->guard = pgw_engine_guard_new(stage->loop, &options, NULL);
+    stage->guard = pgw_engine_sidecar_new(stage->loop, &options, NULL);
     g_assert_nonnull(stage->guard);
     stage->entry = scene_connect_entry(stage->loop, stage->guard, &link_ops);
     pthread_create(&stage->thread, NULL, scene_loop_main, stage->loop);
@@ -117,7 +117,7 @@
     pgw_loop_stop(stage->loop);
     pthread_join(stage->thread, NULL);
     pgw_link_close(stage->entry);
-    pgw_engine_guard_free(stage->guard);
+    pgw_engine_sidecar_free(stage->guard);
     pgw_loop_free(stage->loop);
     close(stage->engine);
     pthread_mutex_destroy(&stage->lock);
@@ -130,7 +130,7 @@
 name_weights(struct pgw_task *task)
 {
     (void)task;
-    pgw_engine_guard_name_weights(stage->guard, "m", 2, 0, "i-1");
+    pgw_engine_sidecar_set_target_weights(stage->guard, "m", 2, 0, "i-1");
 }
 
 static bool
--- a/tests/unit/test_mesh.c
+++ b/tests/unit/test_gossip.c
@@ -1,4 +1,4 @@
-#include "gateway/mesh.h"
+#include "gateway/gossip.h"
 #include "util/log.h"
 #include <string.h>
 
@@ -14,8 +14,8 @@
  */
 struct fleet {
     struct pgw_loop *loop;
-    struct pgw_mesh *meshes[ENTRIES];
-    struct pgw_poison *poison[ENTRIES];
+    struct pgw_gossip *meshes[ENTRIES];
+    struct pgw_crash_quarantine *poison[ENTRIES];
     struct pgw_timer look;
     struct pgw_timer limit;
     unsigned heard[ENTRIES];
@@ -61,7 +61,7 @@
 {
     struct pgw_address seed;
     char text[32];
-    struct pgw_mesh_options options = {
+    struct pgw_gossip_options options = {
         .seeds = &seed,
         .seed_count = index > 0,
         .instance = "e",
@@ -76,11 +76,11 @@
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
     if (index > 0) {
         g_snprintf(text, sizeof(text), "127.0.0.1:%u",
-                   pgw_mesh_port(fleet->meshes[0]));
+                   pgw_gossip_port(fleet->meshes[0]));
         g_assert_true(pgw_address_parse(&seed, text, NULL));
     }
     hearers[index] = (struct hearer){.fleet = fleet, .index = index};
-    fleet->meshes[index] = pgw_mesh_new(fleet->loop, &options, &error);
+    fleet->meshes[index] = pgw_gossip_new(fleet->loop, &options, &error);
     g_assert_no_error(error);
 }
 
@@ -113,15 +113,15 @@
     for (unsigned i = 0; i < ENTRIES; i++) {
         add_entry(&fleet, i);
     }
-    pgw_mesh_put(fleet.meshes[1], &document);
+    pgw_gossip_put(fleet.meshes[1], &document);
     pgw_loop_run(fleet.loop);
     g_assert_false(fleet.late);
-    g_assert_cmpuint(pgw_documents_find(pgw_mesh_documents(fleet.meshes[2]),
+    g_assert_cmpuint(pgw_documents_find(pgw_gossip_documents(fleet.meshes[2]),
                                         "config", "main")
                          ->revision,
                      ==, 4);
     for (unsigned i = 0; i < ENTRIES; i++) {
-        pgw_mesh_free(fleet.meshes[i]);
+        pgw_gossip_free(fleet.meshes[i]);
     }
     pgw_timer_stop(fleet.loop, &fleet.limit);
     pgw_loop_free(fleet.loop);
@@ -148,7 +148,7 @@
 
         document.name = name;
         document.body = body;
-        pgw_mesh_put(fleet.meshes[0], &document);
+        pgw_gossip_put(fleet.meshes[0], &document);
         g_free(name);
     }
     add_entry(&fleet, ENTRIES - 1);
@@ -159,8 +159,8 @@
     for (unsigned i = 1; i < 30; i++) {
         g_assert_cmpuint(fleet.last[i], >, fleet.last[i - 1]);
     }
-    pgw_mesh_free(fleet.meshes[0]);
-    pgw_mesh_free(fleet.meshes[ENTRIES - 1]);
+    pgw_gossip_free(fleet.meshes[0]);
+    pgw_gossip_free(fleet.meshes[ENTRIES - 1]);
     pgw_timer_stop(fleet.loop, &fleet.limit);
     pgw_loop_free(fleet.loop);
     g_free(body);
@@ -175,13 +175,13 @@
 
     fleet.loop = pgw_loop_new(NULL);
     add_entry(&fleet, 0);
-    pgw_mesh_put(fleet.meshes[0], &newest);
-    pgw_mesh_put(fleet.meshes[0], &older);
+    pgw_gossip_put(fleet.meshes[0], &newest);
+    pgw_gossip_put(fleet.meshes[0], &older);
     g_assert_cmpuint(fleet.heard[0], ==, 1);
-    g_assert_true(pgw_documents_find(pgw_mesh_documents(fleet.meshes[0]),
+    g_assert_true(pgw_documents_find(pgw_gossip_documents(fleet.meshes[0]),
                                      "config", "main")
                       ->deleted);
-    pgw_mesh_free(fleet.meshes[0]);
+    pgw_gossip_free(fleet.meshes[0]);
     pgw_loop_free(fleet.loop);
 }
 
@@ -192,7 +192,8 @@
 {
     struct fleet *fleet = pgw_container_of(timer, struct fleet, look);
 
-    if (pgw_poison_holds(fleet->poison[ENTRIES - 1], &harmful, pgw_now_us())) {
+    if (pgw_crash_quarantine_is_active(fleet->poison[ENTRIES - 1], &harmful,
+                                       pgw_now_us())) {
         pgw_loop_stop(fleet->loop);
         return;
     }
@@ -200,10 +201,11 @@
 }
 
 static void
-crash(struct pgw_poison *poison, const char *upstream)
+crash(struct pgw_crash_quarantine *poison, const char *upstream)
 {
-    pgw_poison_broke(poison, &harmful, upstream, pgw_now_us());
-    pgw_poison_crashed(poison, upstream, pgw_now_us());
+    pgw_crash_quarantine_add_interrupted(poison, &harmful, upstream,
+                                         pgw_now_us());
+    pgw_crash_quarantine_add_crash(poison, upstream, pgw_now_us());
 }
 
 /*
@@ -215,7 +217,8 @@
 test_crashes_are_told(void)
 {
     struct fleet fleet = {.wanted = 99};
-    struct pgw_poison_options options = PGW_POISON_OPTIONS_INIT;
+    struct pgw_crash_quarantine_options options =
+        PGW_CRASH_QUARANTINE_OPTIONS_INIT;
 
     options.apart_us = 0;
     fleet.loop = pgw_loop_new(NULL);
@@ -224,7 +227,7 @@
     pgw_timer_start(fleet.loop, &fleet.limit, 20000000);
     pgw_timer_start(fleet.loop, &fleet.look, 0);
     for (unsigned i = 0; i < ENTRIES; i++) {
-        fleet.poison[i] = pgw_poison_new(&options);
+        fleet.poison[i] = pgw_crash_quarantine_new(&options);
     }
     add_entry(&fleet, 0);
     add_entry(&fleet, 1);
@@ -235,8 +238,8 @@
     pgw_loop_run(fleet.loop);
     g_assert_false(fleet.late);
     for (unsigned i = 0; i < ENTRIES; i++) {
-        pgw_mesh_free(fleet.meshes[i]);
-        pgw_poison_free(fleet.poison[i]);
+        pgw_gossip_free(fleet.meshes[i]);
+        pgw_crash_quarantine_free(fleet.poison[i]);
     }
     pgw_timer_stop(fleet.loop, &fleet.limit);
     pgw_timer_stop(fleet.loop, &fleet.look);
--- a/tests/unit/test_estimate.c
+++ b/tests/unit/test_moving_average.c
@@ -1,13 +1,13 @@
-#include "gateway/estimate.h"
+#include "gateway/moving_average.h"
 #include <glib.h>
 
 #define NOW UINT64_C(100000000)
 
 static void
-note(struct pgw_estimate *estimate, double sample, unsigned times)
+note(struct pgw_moving_average *estimate, double sample, unsigned times)
 {
     for (unsigned i = 0; i < times; i++) {
-        pgw_estimate_note(estimate, sample, NOW);
+        pgw_moving_average_add(estimate, sample, NOW);
     }
 }
 
@@ -15,9 +15,9 @@
 static void
 test_prior_is_left(void)
 {
-    struct pgw_estimate estimate;
+    struct pgw_moving_average estimate;
 
-    pgw_estimate_init(&estimate, 10);
+    pgw_moving_average_init(&estimate, 10);
     note(&estimate, 1000, 20);
     g_assert_cmpfloat(estimate.value, >, 600);
     note(&estimate, 1000, 60);
@@ -29,9 +29,9 @@
 static void
 test_outlier(void)
 {
-    struct pgw_estimate estimate;
+    struct pgw_moving_average estimate;
 
-    pgw_estimate_init(&estimate, 100);
+    pgw_moving_average_init(&estimate, 100);
     note(&estimate, 100, 50);
     note(&estimate, 1e9, 1);
     g_assert_cmpfloat(estimate.value, <, 125);
@@ -41,9 +41,9 @@
 static void
 test_regimes(void)
 {
-    struct pgw_estimate estimate;
+    struct pgw_moving_average estimate;
 
-    pgw_estimate_init(&estimate, 100);
+    pgw_moving_average_init(&estimate, 100);
     note(&estimate, 100, 100);
     note(&estimate, 20, 60);
     g_assert_cmpfloat(estimate.value, <, 25);
@@ -55,12 +55,12 @@
 static void
 test_nothing_observed(void)
 {
-    struct pgw_estimate estimate;
+    struct pgw_moving_average estimate;
 
-    pgw_estimate_init(&estimate, 100);
-    pgw_estimate_note(&estimate, 0, NOW);
-    pgw_estimate_note(&estimate, -5, NOW);
-    pgw_estimate_note(&estimate, 0.0 / 0.0, NOW);
+    pgw_moving_average_init(&estimate, 100);
+    pgw_moving_average_add(&estimate, 0, NOW);
+    pgw_moving_average_add(&estimate, -5, NOW);
+    pgw_moving_average_add(&estimate, 0.0 / 0.0, NOW);
     g_assert_cmpfloat(estimate.value, ==, 100);
     g_assert_cmpuint(estimate.at_us, ==, 0);
 }
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -90,7 +90,7 @@
     struct sim_result reports = play(&options, "parsleygw");
     struct sim_result homes;
 
-    g_assert_false(pgw_guard_reports_reach_far(
+    g_assert_false(pgw_report_budget_reaches_remote(
         (options.zones - 1) * options.entries, true));
     options.homes = PGW_HOMES_MAX;
     homes = play(&options, "parsleygw");
--- a/tests/unit/test_platform_alone.c
+++ b/tests/unit/test_platform_alone.c
@@ -19,7 +19,7 @@
  */
 struct stage {
     struct pgw_loop *loop;
-    struct pgw_engine_guard *guard;
+    struct pgw_engine_sidecar *guard;
     struct platform_store *store;
     struct platform_alone *alone;
     struct pgw_link *entry;
@@ -63,7 +63,7 @@
 stage_open(void)
 {
     struct pgw_address address;
-    struct pgw_engine_guard_options guard = {
+    struct pgw_engine_sidecar_options guard = {
         .instance = "guard",
         .zone = "a",
         .codec = &platform_engine_codec,
@@ -78,7 +78,7 @@
     /* Nothing listens there: an engine that does not answer. */
     g_assert_true(pgw_address_parse(&guard.engine, "127.0.0.1:1", NULL));
     g_assert_true(pgw_address_parse(&guard.listen, "127.0.0.1:0", NULL));
-    stage->guard = pgw_engine_guard_new(stage->loop, &guard, NULL);
+    stage->guard = pgw_engine_sidecar_new(stage->loop, &guard, NULL);
     g_assert_nonnull(stage->guard);
     alone.store = stage->store;
     alone.guard = stage->guard;
@@ -94,7 +94,7 @@
     pgw_link_close(stage->entry);
     platform_alone_free(stage->alone);
     platform_store_free(stage->store);
-    pgw_engine_guard_free(stage->guard);
+    pgw_engine_sidecar_free(stage->guard);
     pgw_loop_free(stage->loop);
     close(stage->listener);
     g_free(stage);
--- a/tests/unit/test_platform_codec.c
+++ b/tests/unit/test_platform_codec.c
@@ -206,7 +206,7 @@
     g_assert_cmpuint(out.load.long_prefills, ==, 1);
     g_assert_cmpuint(out.run_count, ==, 3);
     g_assert_cmpuint(out.reading, ==, 9);
-    g_assert_cmpuint(out.runs[1].id, ==, pgw_announced_id("b"));
+    g_assert_cmpuint(out.runs[1].id, ==, pgw_announced_prompts_id("b"));
     g_assert_cmpuint(out.runs[1].tokens, ==, 9000);
     g_assert_cmpuint(out.runs[1].events, ==, 4);
     g_free(out.runs);
--- a/tests/unit/test_guard_budget.c
+++ b/tests/unit/test_report_budget.c
@@ -1,4 +1,4 @@
-#include "gateway/guard_budget.h"
+#include "gateway/report_budget.h"
 #include <glib.h>
 
 #define SECONDS 60
@@ -10,15 +10,15 @@
 static double
 near_bytes(unsigned near, unsigned far)
 {
-    struct pgw_guard_budget budget = {0};
+    struct pgw_report_budget budget = {0};
     double sent = 0;
 
     for (uint64_t now = STEP_US; now <= WARM_US + SECONDS * 1000000ULL;
          now += STEP_US) {
-        if (pgw_guard_budget_has(&budget, far, now)) {
-            size_t bytes = (size_t)near * PGW_GUARD_LOAD_BYTES;
+        if (pgw_report_budget_has(&budget, far, now)) {
+            size_t bytes = (size_t)near * PGW_REPORT_LOAD_BYTES;
 
-            pgw_guard_budget_spend(&budget, bytes);
+            pgw_report_budget_spend(&budget, bytes);
             sent += now > WARM_US ? (double)bytes : 0;
         }
     }
@@ -28,13 +28,13 @@
 static double
 far_bytes(unsigned far)
 {
-    double frames = 1e6 / (double)pgw_guard_far_period_us(far);
+    double frames = 1e6 / (double)pgw_report_budget_remote_period_us(far);
 
     return far == 0 ? 0
                     : frames * far *
-                          (PGW_GUARD_LOAD_BYTES +
-                           (double)pgw_guard_far_parts_most(far) *
-                               PGW_GUARD_PART_BYTES);
+                          (PGW_REPORT_LOAD_BYTES +
+                           (double)pgw_report_budget_remote_parts_max(far) *
+                               PGW_REPORT_PART_BYTES);
 }
 
 /* Guards against control traffic that grows with the entries: 16 KB/s is what
@@ -59,12 +59,12 @@
 static void
 test_refills(void)
 {
-    struct pgw_guard_budget budget = {0};
+    struct pgw_report_budget budget = {0};
 
-    g_assert_true(pgw_guard_budget_has(&budget, 0, 1));
-    pgw_guard_budget_spend(&budget, 20000);
-    g_assert_false(pgw_guard_budget_has(&budget, 0, 1));
-    g_assert_true(pgw_guard_budget_has(&budget, 0, 1000000));
+    g_assert_true(pgw_report_budget_has(&budget, 0, 1));
+    pgw_report_budget_spend(&budget, 20000);
+    g_assert_false(pgw_report_budget_has(&budget, 0, 1));
+    g_assert_true(pgw_report_budget_has(&budget, 0, 1000000));
 }
 
 /* Guards against entries that decide alike on old reports, and against a way
@@ -72,11 +72,11 @@
 static void
 test_reports_of_other_zones(void)
 {
-    g_assert_true(pgw_guard_reports_reach_far(4, true));
-    g_assert_true(pgw_guard_reports_reach_far(7, true));
-    g_assert_false(pgw_guard_reports_reach_far(14, true));
-    g_assert_false(pgw_guard_reports_reach_far(7, false));
-    g_assert_true(pgw_guard_reports_reach_far(4, false));
+    g_assert_true(pgw_report_budget_reaches_remote(4, true));
+    g_assert_true(pgw_report_budget_reaches_remote(7, true));
+    g_assert_false(pgw_report_budget_reaches_remote(14, true));
+    g_assert_false(pgw_report_budget_reaches_remote(7, false));
+    g_assert_true(pgw_report_budget_reaches_remote(4, false));
 }
 
 int
