--- a/tests/unit/test_budgets.c
+++ b/tests/unit/test_retry_budgets.c
@@ -1,11 +1,11 @@
-#include "gateway/budgets.h"
+#include "gateway/retry_budgets.h"
 
 static unsigned
-take_all(struct pgw_budgets *budgets, const char *service)
+take_all(struct pgw_retry_budgets *budgets, const char *service)
 {
     unsigned taken = 0;
 
-    while (pgw_budgets_withdraw(budgets, service)) {
+    while (pgw_retry_budgets_withdraw(budgets, service)) {
         taken++;
     }
     return taken;
@@ -19,36 +19,36 @@
 static void
 test_services_do_not_share(void)
 {
-    struct pgw_budgets_options options = {
+    struct pgw_retry_budgets_options options = {
         .share_permille = 200, .slack = 40, .entries = 4};
-    struct pgw_budgets *budgets = pgw_budgets_new(&options);
+    struct pgw_retry_budgets *budgets = pgw_retry_budgets_new(&options);
 
     g_assert_cmpuint(take_all(budgets, "small"), ==, 10);
     for (unsigned i = 0; i < 1000; i++) {
-        pgw_budgets_deposit(budgets, "large");
+        pgw_retry_budgets_deposit(budgets, "large");
     }
     for (unsigned i = 0; i < 20; i++) {
-        pgw_budgets_deposit(budgets, "small");
+        pgw_retry_budgets_deposit(budgets, "small");
     }
     g_assert_cmpuint(take_all(budgets, "small"), ==, 4);
     g_assert_cmpuint(take_all(budgets, "large"), ==, 10);
-    pgw_budgets_free(budgets);
+    pgw_retry_budgets_free(budgets);
 }
 
 /* 31 entries must not each spend an eighth of the slack. */
 static void
 test_slack_is_divided(void)
 {
-    struct pgw_budgets_options options = {
+    struct pgw_retry_budgets_options options = {
         .share_permille = 200, .slack = 102, .entries = 8};
-    struct pgw_budgets *budgets = pgw_budgets_new(&options);
+    struct pgw_retry_budgets *budgets = pgw_retry_budgets_new(&options);
 
-    pgw_budgets_deposit(budgets, "s");
-    pgw_budgets_set_entries(budgets, 31);
+    pgw_retry_budgets_deposit(budgets, "s");
+    pgw_retry_budgets_set_entries(budgets, 31);
     g_assert_cmpuint(take_all(budgets, "s"), ==, 3);
-    pgw_budgets_set_entries(budgets, 0);
+    pgw_retry_budgets_set_entries(budgets, 0);
     g_assert_cmpuint(take_all(budgets, "new"), ==, 3);
-    pgw_budgets_free(budgets);
+    pgw_retry_budgets_free(budgets);
 }
 
 int
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -1,5 +1,5 @@
 #include "gateway/choose.h"
-#include "gateway/load_window.h"
+#include "gateway/rollout_window.h"
 #include <stdlib.h>
 
 /**
@@ -38,7 +38,7 @@
 struct play {
     struct pgw_upstream_table *table;
     struct pgw_upstream *engines[ENGINES];
-    struct pgw_load_engine window[ENGINES];
+    struct pgw_rollout_candidate window[ENGINES];
     uint64_t announced_us[ENGINES];
     uint64_t loaded_us[ENGINES];
     struct run runs[RUNS_MAX];
@@ -146,12 +146,12 @@
 static void
 open_window(struct play *play)
 {
-    static const struct pgw_load_window_options options =
-        PGW_LOAD_WINDOW_OPTIONS_INIT;
+    static const struct pgw_rollout_window_options options =
+        PGW_ROLLOUT_WINDOW_OPTIONS_INIT;
     unsigned away = 0;
 
     for (unsigned i = 0; i < ENGINES; i++) {
-        play->window[i] = (struct pgw_load_engine){
+        play->window[i] = (struct pgw_rollout_candidate){
             .place = (i * 7) % ENGINES,
             .version = pgw_upstream_version(play->engines[i], MODEL),
             .loading = play->announced_us[i] > 0,
@@ -160,7 +160,7 @@
         away += play->announced_us[i] > 0;
     }
     play->most_away = MAX(play->most_away, away);
-    pgw_load_window_open(play->window, ENGINES, 2, &options);
+    pgw_rollout_window_select(play->window, ENGINES, 2, &options);
     for (unsigned i = 0; i < ENGINES; i++) {
         struct pgw_upstream **upstream = play->window[i].context;
         size_t engine = (size_t)(upstream - play->engines);
--- a/tests/unit/test_load_window.c
+++ b/tests/unit/test_rollout_window.c
@@ -1,17 +1,17 @@
-#include "gateway/load_window.h"
+#include "gateway/rollout_window.h"
 #include <glib.h>
 
 #define POOL 18
 #define SECOND UINT64_C(1000000)
 
-static const struct pgw_load_window_options options =
-    PGW_LOAD_WINDOW_OPTIONS_INIT;
+static const struct pgw_rollout_window_options options =
+    PGW_ROLLOUT_WINDOW_OPTIONS_INIT;
 
 static void
-fill(struct pgw_load_engine *engines, size_t count, uint64_t version)
+fill(struct pgw_rollout_candidate *engines, size_t count, uint64_t version)
 {
     for (size_t i = 0; i < count; i++) {
-        engines[i] = (struct pgw_load_engine){
+        engines[i] = (struct pgw_rollout_candidate){
             .place = (i * 7) % count,
             .version = version,
         };
@@ -19,7 +19,7 @@
 }
 
 static unsigned
-count_go(const struct pgw_load_engine *engines, size_t count)
+count_go(const struct pgw_rollout_candidate *engines, size_t count)
 {
     unsigned go = 0;
 
@@ -37,18 +37,18 @@
 static void
 test_next_begins_when_one_is_done(void)
 {
-    struct pgw_load_engine engines[POOL];
+    struct pgw_rollout_candidate engines[POOL];
     const uint64_t wanted = 2;
     unsigned rounds = 0;
 
     fill(engines, POOL, 1);
-    while (pgw_load_window_open(engines, POOL, wanted, &options) > 0) {
+    while (pgw_rollout_window_select(engines, POOL, wanted, &options) > 0) {
         g_assert_cmpuint(count_go(engines, POOL), ==, 3);
         for (size_t i = 0; i < POOL; i++) {
             engines[i].loading = engines[i].go;
         }
-        g_assert_cmpuint(pgw_load_window_open(engines, POOL, wanted, &options),
-                         ==, 3);
+        g_assert_cmpuint(
+            pgw_rollout_window_select(engines, POOL, wanted, &options), ==, 3);
         g_assert_cmpuint(count_go(engines, POOL), ==, 0);
         for (size_t i = 0; i < POOL; i++) {
             engines[i].version = engines[i].loading ? 2 : engines[i].version;
@@ -62,10 +62,10 @@
 static void
 test_size(void)
 {
-    g_assert_cmpuint(pgw_load_window_size(&options, POOL), ==, 3);
-    g_assert_cmpuint(pgw_load_window_size(&options, 9), ==, 2);
-    g_assert_cmpuint(pgw_load_window_size(&options, 1), ==, 1);
-    g_assert_cmpuint(pgw_load_window_size(&options, 0), ==, 1);
+    g_assert_cmpuint(pgw_rollout_window_size(&options, POOL), ==, 3);
+    g_assert_cmpuint(pgw_rollout_window_size(&options, 9), ==, 2);
+    g_assert_cmpuint(pgw_rollout_window_size(&options, 1), ==, 1);
+    g_assert_cmpuint(pgw_rollout_window_size(&options, 0), ==, 1);
 }
 
 /* A version is named while the one before is rolled out: engines that have not
@@ -73,15 +73,15 @@
 static void
 test_oldest_weights_go_first(void)
 {
-    struct pgw_load_engine engines[POOL];
+    struct pgw_rollout_candidate engines[POOL];
     const uint64_t wanted = 3;
 
     fill(engines, POOL, 2);
     engines[4].version = 1;
     engines[9].version = 1;
     engines[15].version = 1;
-    g_assert_cmpuint(pgw_load_window_open(engines, POOL, wanted, &options), ==,
-                     3);
+    g_assert_cmpuint(
+        pgw_rollout_window_select(engines, POOL, wanted, &options), ==, 3);
     g_assert_cmpuint(engines[0].version, ==, 1);
     g_assert_cmpuint(engines[2].version, ==, 1);
     g_assert_true(engines[0].go && engines[1].go && engines[2].go);
@@ -94,31 +94,34 @@
 static void
 test_pace_is_that_of_a_free_load(void)
 {
-    struct pgw_load_pace pace = {0};
+    struct pgw_weights_load_times pace = {0};
 
-    g_assert_cmpuint(pgw_load_pace_expected(&pace), ==, 0);
-    pgw_load_pace_note(&pace, 30 * SECOND);
-    g_assert_cmpuint(pgw_load_pace_expected(&pace), ==, 30 * SECOND);
-    pgw_load_pace_note(&pace, SECOND);
-    pgw_load_pace_note(&pace, 3 * SECOND);
-    g_assert_cmpuint(pgw_load_pace_expected(&pace), ==, SECOND);
+    g_assert_cmpuint(pgw_weights_load_times_expected_us(&pace), ==, 0);
+    pgw_weights_load_times_add(&pace, 30 * SECOND);
+    g_assert_cmpuint(pgw_weights_load_times_expected_us(&pace), ==,
+                     30 * SECOND);
+    pgw_weights_load_times_add(&pace, SECOND);
+    pgw_weights_load_times_add(&pace, 3 * SECOND);
+    g_assert_cmpuint(pgw_weights_load_times_expected_us(&pace), ==, SECOND);
     /* All loads take longer from now on. */
-    for (unsigned i = 0; i < PGW_LOAD_PACE_SAMPLES; i++) {
-        pgw_load_pace_note(&pace, 5 * SECOND);
+    for (unsigned i = 0; i < PGW_WEIGHTS_LOAD_TIMES_MAX; i++) {
+        pgw_weights_load_times_add(&pace, 5 * SECOND);
     }
-    g_assert_cmpuint(pgw_load_pace_expected(&pace), ==, 5 * SECOND);
+    g_assert_cmpuint(pgw_weights_load_times_expected_us(&pace), ==,
+                     5 * SECOND);
 }
 
 static void
 test_alone_each_begins_at_the_end(void)
 {
     for (unsigned i = 0; i <= 10; i++) {
-        uint64_t at = pgw_load_window_latest(i / 10.0, 10 * SECOND);
+        uint64_t at =
+            pgw_rollout_window_latest_start_us(i / 10.0, 10 * SECOND);
 
         g_assert_cmpuint(at, >=, 10 * SECOND);
         g_assert_cmpuint(at, <=, 12 * SECOND);
     }
-    g_assert_cmpuint(pgw_load_window_latest(0.5, 0), ==, 0);
+    g_assert_cmpuint(pgw_rollout_window_latest_start_us(0.5, 0), ==, 0);
 }
 
 int
--- a/tests/unit/test_guard_links.c
+++ b/tests/unit/test_sidecar_links.c
@@ -1,6 +1,6 @@
 #include "codec.h"
 #include "gateway/gateway.h"
-#include "gateway/guard_links.h"
+#include "gateway/sidecar_links.h"
 #include "libparsleygw/link.h"
 #include "util/log.h"
 #include <string.h>
@@ -20,7 +20,7 @@
 struct stage {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
-    struct pgw_guard_links *links;
+    struct pgw_sidecar_links *links;
     struct pgw_listener *sidecar;
     struct pgw_link *link;
     struct pgw_timer timer;
@@ -33,21 +33,21 @@
         .instance = "entry",
         .zone = "a",
         .codec = &platform_codec,
-        .budgets = PGW_BUDGETS_OPTIONS_INIT,
+        .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
-        .poison = PGW_POISON_OPTIONS_INIT,
+        .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
     };
 
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
     stage->gateway = pgw_gateway_new(stage->loop, &options, NULL);
     g_assert_nonnull(stage->gateway);
-    stage->links = pgw_guard_links_new(stage->loop, stage->gateway, port);
+    stage->links = pgw_sidecar_links_new(stage->loop, stage->gateway, port);
 }
 
 static void
 close_stage(struct stage *stage)
 {
-    pgw_guard_links_free(stage->links);
+    pgw_sidecar_links_free(stage->links);
     pgw_gateway_free(stage->gateway);
     pgw_loop_free(stage->loop);
 }
@@ -73,7 +73,7 @@
         g_snprintf(address, sizeof(address), "127.0.0.1:%u", 10000 + i);
         pgw_upstream_table_put(pgw_gateway_upstreams(stage->gateway), &facts);
     }
-    pgw_guard_links_refresh(stage->links);
+    pgw_sidecar_links_refresh(stage->links);
 }
 
 static void
--- a/tests/unit/test_unguarded.c
+++ b/tests/unit/test_sidecarless.c
@@ -2,7 +2,7 @@
 #include "scene_gateway.h"
 
 #include "codec.h"
-#include "gateway/unguarded.h"
+#include "gateway/sidecarless.h"
 #include "util/log.h"
 #include <arpa/inet.h>
 #include <poll.h>
@@ -22,8 +22,8 @@
 struct stage {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
-    struct pgw_guard_links *links;
-    struct pgw_unguarded *unguarded;
+    struct pgw_sidecar_links *links;
+    struct pgw_sidecarless *unguarded;
     struct scene_engine engine;
     pthread_t thread;
     struct pgw_task answer;
@@ -46,17 +46,17 @@
     (void)task;
     switch (stage->call) {
     case READ:
-        pgw_unguarded_take_read(stage->unguarded,
-                                stage->other_holds ? PGW_LEASE_DONE
-                                                   : PGW_LEASE_ABSENT,
-                                false, 0, stage->revision);
+        pgw_sidecarless_take_read(stage->unguarded,
+                                  stage->other_holds ? PGW_LEASE_DONE
+                                                     : PGW_LEASE_ABSENT,
+                                  false, 0, stage->revision);
         break;
     case WRITE:
-        pgw_unguarded_take_write(stage->unguarded, PGW_LEASE_DONE,
-                                 ++stage->revision);
+        pgw_sidecarless_take_write(stage->unguarded, PGW_LEASE_DONE,
+                                   ++stage->revision);
         break;
     case TOKEN:
-        pgw_unguarded_take_token(stage->unguarded, 41);
+        pgw_sidecarless_take_token(stage->unguarded, 41);
         break;
     }
 }
@@ -95,7 +95,7 @@
     post_answer(TOKEN);
 }
 
-static const struct pgw_unguarded_store store = {
+static const struct pgw_sidecarless_store store = {
     .read = read_lease,
     .write = write_lease,
     .get_token = get_token,
@@ -142,11 +142,11 @@
         .instance = "entry-1",
         .zone = "a",
         .codec = &platform_codec,
-        .budgets = PGW_BUDGETS_OPTIONS_INIT,
+        .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
-        .poison = PGW_POISON_OPTIONS_INIT,
+        .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
     };
-    struct pgw_unguarded_options options = {
+    struct pgw_sidecarless_options options = {
         .instance = "entry-1",
         .codec = &platform_engine_codec,
         .lease = PGW_LEASE_OPTIONS_INIT,
@@ -164,13 +164,13 @@
     g_assert_true(pgw_address_parse(&gateway.listen, "127.0.0.1:0", NULL));
     stage->loop = pgw_loop_new(NULL);
     stage->gateway = pgw_gateway_new(stage->loop, &gateway, NULL);
-    stage->links = pgw_guard_links_new(stage->loop, stage->gateway, port);
+    stage->links = pgw_sidecar_links_new(stage->loop, stage->gateway, port);
     put_engine(&engine, 1);
-    pgw_gateway_name_weights(stage->gateway, "m", 2, 0);
-    pgw_guard_links_refresh(stage->links);
+    pgw_gateway_set_target_weights(stage->gateway, "m", 2, 0);
+    pgw_sidecar_links_refresh(stage->links);
     options.lease.poll_us = 1;
-    stage->unguarded =
-        pgw_unguarded_new(stage->loop, stage->gateway, stage->links, &options);
+    stage->unguarded = pgw_sidecarless_new(stage->loop, stage->gateway,
+                                           stage->links, &options);
     pthread_create(&stage->thread, NULL, scene_loop_main, stage->loop);
 }
 
@@ -185,8 +185,8 @@
 {
     pgw_loop_stop(stage->loop);
     pthread_join(stage->thread, NULL);
-    pgw_unguarded_free(stage->unguarded);
-    pgw_guard_links_free(stage->links);
+    pgw_sidecarless_free(stage->unguarded);
+    pgw_sidecar_links_free(stage->links);
     pgw_gateway_free(stage->gateway);
     pgw_loop_free(stage->loop);
     close(stage->engine.listener);
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -135,7 +135,7 @@
     g_assert_false(pgw_upstream_holds(upstream, 5, 200, false, NOW));
     pgw_upstream_hold(upstream, 5, 0);
     g_assert_false(pgw_upstream_holds(upstream, 5, 100, false, NOW));
-    pgw_prefix_memory_note(&upstream->expected, 6, NOW);
+    pgw_recent_parts_add(&upstream->expected, 6, NOW);
     g_assert_true(pgw_upstream_holds(upstream, 6, 100, true, NOW + 1));
     g_assert_false(pgw_upstream_holds(upstream, 6, 100, false, NOW + 1));
     pgw_upstream_set_version(upstream, "m", 2);
