--- a/src/gateway/rollout_window.c
+++ b/src/gateway/rollout_window.c
@@ -2,27 +2,27 @@
 #include <glib.h>
 #include <stdlib.h>
 
-/* When the first and the last engine begin that are told nothing, as parts of
- * the time that is left. */
-#define LATEST_FIRST 1.0
-#define LATEST_LAST 1.15
+/* When the first and the last engine start loading that were never selected,
+ * as multiples of the time for which their weights are usable. */
+#define UNSELECTED_START_FIRST 1.0
+#define UNSELECTED_START_LAST 1.15
 
 void
-pgw_weights_load_times_add(struct pgw_weights_load_times *pace, uint64_t us)
+pgw_weights_load_times_add(struct pgw_weights_load_times *times, uint64_t us)
 {
-    pace->samples[pace->next] = us;
-    pace->next = (pace->next + 1) % PGW_WEIGHTS_LOAD_TIMES_MAX;
-    pace->count = MIN(pace->count + 1, PGW_WEIGHTS_LOAD_TIMES_MAX);
+    times->samples[times->next] = us;
+    times->next = (times->next + 1) % PGW_WEIGHTS_LOAD_TIMES_MAX;
+    times->count = MIN(times->count + 1, PGW_WEIGHTS_LOAD_TIMES_MAX);
 }
 
 uint64_t
-pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *pace)
+pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *times)
 {
     uint64_t least = 0;
 
-    for (size_t i = 0; i < pace->count; i++) {
-        if (least == 0 || pace->samples[i] < least) {
-            least = pace->samples[i];
+    for (size_t i = 0; i < times->count; i++) {
+        if (least == 0 || times->samples[i] < least) {
+            least = times->samples[i];
         }
     }
     return least;
@@ -32,9 +32,9 @@
 pgw_rollout_window_size(const struct pgw_rollout_window_options *options,
                         unsigned count)
 {
-    unsigned usual = (unsigned)((double)count * options->share + 0.5);
+    unsigned size = (unsigned)((double)count * options->loading_share + 0.5);
 
-    return MAX(usual, 1);
+    return MAX(size, 1);
 }
 
 static int
@@ -46,12 +46,12 @@
     if (a->version != b->version) {
         return a->version < b->version ? -1 : 1;
     }
-    return a->place < b->place ? -1 : a->place > b->place;
+    return a->rank < b->rank ? -1 : a->rank > b->rank;
 }
 
 unsigned
 pgw_rollout_window_select(struct pgw_rollout_candidate *engines, size_t count,
-                          uint64_t wanted,
+                          uint64_t target_version,
                           const struct pgw_rollout_window_options *options)
 {
     unsigned pending = 0;
@@ -60,7 +60,7 @@
     unsigned size;
 
     for (size_t i = 0; i < count; i++) {
-        pending += engines[i].version < wanted;
+        pending += engines[i].version < target_version;
         loading += engines[i].loading;
     }
     if (pending == 0) {
@@ -69,17 +69,17 @@
     size = pgw_rollout_window_size(options, (unsigned)count);
     qsort(engines, count, sizeof(engines[0]), compare_engines);
     for (size_t i = 0; i < count; i++) {
-        engines[i].go = false;
-        engines[i].next = false;
-        if (engines[i].version >= wanted || engines[i].loading) {
+        engines[i].may_start = false;
+        engines[i].starts_next = false;
+        if (engines[i].version >= target_version || engines[i].loading) {
             continue;
         }
         if (loading < size) {
-            engines[i].go = true;
+            engines[i].may_start = true;
             loading++;
         }
         else if (next < size) {
-            engines[i].next = true;
+            engines[i].starts_next = true;
             next++;
         }
     }
@@ -87,8 +87,11 @@
 }
 
 uint64_t
-pgw_rollout_window_latest_start_us(double place, uint64_t left_us)
+pgw_rollout_window_latest_start_us(double rank_fraction,
+                                   uint64_t usable_for_us)
 {
-    return (uint64_t)((double)left_us *
-                      (LATEST_FIRST + (LATEST_LAST - LATEST_FIRST) * place));
+    return (uint64_t)((double)usable_for_us *
+                      (UNSELECTED_START_FIRST +
+                       (UNSELECTED_START_LAST - UNSELECTED_START_FIRST) *
+                           rank_fraction));
 }
--- a/src/gateway/rollout_window.h
+++ b/src/gateway/rollout_window.h
@@ -8,21 +8,21 @@
 /**
  * DOC: Which engines of a pool load new weights now
  *
- * Pure decisions; every entry makes them alike from what the processes beside
- * the engines report. A few engines load at a time and the next one begins as
- * soon as one is done, so that the pace follows the time that a load takes
- * there: with groups that began every 0.4 s where a load takes 1.3 s half of
- * the engines loaded together, and a third of all requests was refused.
+ * Pure functions. All entries decide alike, from what the sidecars report. A
+ * limited number of engines loads at once, and the next one starts as soon as
+ * one has finished, so the pace follows the loading time of the deployment.
+ * Starting a new group every 0.4 s with 1.3 s loads left half of the pool
+ * loading and a third of requests refused.
  */
 
-/* Loads whose time is remembered. */
+/* Number of loading times that are kept. */
 #define PGW_WEIGHTS_LOAD_TIMES_MAX 8
 
 /**
- * struct pgw_weights_load_times - how long loads take here
- * @samples: the last ones, in microseconds
+ * struct pgw_weights_load_times - recent loading times of the deployment
+ * @samples: the most recent ones, in microseconds
  * @count: number of @samples
- * @next: which one is replaced next
+ * @next: index of the sample that is replaced next
  */
 struct pgw_weights_load_times {
     uint64_t samples[PGW_WEIGHTS_LOAD_TIMES_MAX];
@@ -30,93 +30,99 @@
     size_t next;
 };
 
-/** pgw_weights_load_times_add() - an engine was away for a load for so long */
-void pgw_weights_load_times_add(struct pgw_weights_load_times *pace,
+/** pgw_weights_load_times_add() - record how long an engine was unavailable
+ * while it loaded */
+void pgw_weights_load_times_add(struct pgw_weights_load_times *times,
                                 uint64_t us);
 
 /**
- * pgw_weights_load_times_expected_us() - time that the next load takes
+ * pgw_weights_load_times_expected_us() - expected duration of the next load
  *
- * Return: the least of the last ones; 0: none was seen. Others had long runs
- * to end first, or loaded beside too many.
+ * Return: the shortest recent loading time; 0 without any. Longer ones include
+ * the end of long runs, or a link shared with more loads than usual.
  */
 uint64_t
-pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *pace);
+pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *times);
 
 /**
  * struct pgw_rollout_candidate - an engine of the pool
- * @place: its place in the order that all entries draw alike
- * @version: weights that it runs
- * @loading: it is away for a load, whichever version it loads
- * @context: the caller's
- * @go: out: it may begin
- * @next: out: it is about to be told to
+ * @rank: position in the loading order, which all entries compute alike
+ * @version: version that it runs
+ * @loading: it is loading weights, of whichever version
+ * @context: caller's data
+ * @may_start: output: it may start loading
+ * @starts_next: output: it is among the next ones to start
  */
 struct pgw_rollout_candidate {
-    uint64_t place;
+    uint64_t rank;
     uint64_t version;
     bool loading;
     void *context;
-    bool go;
-    bool next;
+    bool may_start;
+    bool starts_next;
 };
 
 /**
  * struct pgw_rollout_window_options - thresholds
- * @share: engines that load at once, as a part of the pool
+ * @loading_share: share of the pool that loads at once
  */
 struct pgw_rollout_window_options {
-    double share;
+    double loading_share;
 };
 
-/* A fifth: weights come slower to each where more load at once. */
+/* About a fifth: engines that load at once share bandwidth, so each load takes
+ * longer with more of them. */
 #define PGW_ROLLOUT_WINDOW_OPTIONS_INIT                                       \
     {                                                                         \
-        .share = 0.19                                                         \
+        .loading_share = 0.19                                                 \
     }
 
 /**
- * pgw_rollout_window_size() - how many engines load at once
+ * pgw_rollout_window_size() - number of engines that load at once
  * @options: thresholds
- * @count: engines of the pool
+ * @count: number of engines in the pool
  *
- * Not more when time is short: engines that load share a link, so each takes
- * longer then, which makes time shorter still, until nobody serves.
+ * The window does not grow when time runs short: engines that load share a
+ * link, so each load would take longer, which leaves less time still, until no
+ * engine serves.
+ *
+ * Return: at least 1.
  */
 unsigned
 pgw_rollout_window_size(const struct pgw_rollout_window_options *options,
                         unsigned count);
 
 /**
- * pgw_rollout_window_select() - who may begin
- * @engines: those that can be reached; sorted in place
+ * pgw_rollout_window_select() - select the engines that may start loading
+ * @engines: the reachable engines; sorted in place
  * @count: number of @engines
- * @wanted: newest version
+ * @target_version: newest version
  * @options: thresholds
  *
- * Engines with the oldest weights go first: their time runs out first.
+ * Engines with the oldest weights start first, as theirs expire first.
  *
- * Return: the size of the window, 0: all have loaded.
+ * Return: the size of the window, 0: all engines run @target_version.
  */
 unsigned
 pgw_rollout_window_select(struct pgw_rollout_candidate *engines, size_t count,
-                          uint64_t wanted,
+                          uint64_t target_version,
                           const struct pgw_rollout_window_options *options);
 
 /**
- * pgw_rollout_window_latest_start_us() - when an engine begins that nobody
- * tells to
- * @place: its place among the pool's, from 0 to 1
- * @left_us: until it may not be used any more with the weights that it has
+ * pgw_rollout_window_latest_start_us() - when an engine starts loading without
+ * being selected
+ * @rank_fraction: its rank in the pool, from 0 to 1
+ * @usable_for_us: time until its current weights may no longer be used
  *
- * Failure: entries are gone or cut off while a version is rolled out. Symptom:
- * engines that wait for their word run old weights beyond the deployment's
- * bound. Each begins by itself once it is of no use, which costs the callers
- * nothing then. Sooner it would load beside those that were told to, and all
- * would take longer.
+ * Failure: entries are down or partitioned off during a rollout. Symptom:
+ * engines that wait to be selected keep old weights beyond the deployment's
+ * limit. Each engine therefore starts by itself once its weights may no longer
+ * be used, when it serves no requests anyway. An earlier start would overlap
+ * with the loads of selected engines and make all of them slower.
  *
  * Return: microseconds from now.
  */
-uint64_t pgw_rollout_window_latest_start_us(double place, uint64_t left_us);
+uint64_t pgw_rollout_window_latest_start_us(double rank_fraction,
+                                            uint64_t usable_for_us);
 
 #endif
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -143,7 +143,7 @@
     uint64_t version = pgw_upstream_version(upstream, rollout->model);
 
     rollout->engines[rollout->count++] = (struct pgw_rollout_candidate){
-        .place = place_of(upstream, rollout->wanted),
+        .rank = place_of(upstream, rollout->wanted),
         .version = version,
         .loading = is_under_way(links, upstream),
         .context = guard,
@@ -164,8 +164,8 @@
             pgw_sidecar_link_upstream(links, guard->engine);
         size_t model = index_of_model(upstream, rollout->model);
 
-        upstream->loads_next = engine->next;
-        if (engine->go && guard->told[model] != rollout->wanted) {
+        upstream->loads_next = engine->starts_next;
+        if (engine->may_start && guard->told[model] != rollout->wanted) {
             guard->told[model] = rollout->wanted;
             tell_weights(guard, upstream, rollout->model, rollout->wanted, 0);
         }
@@ -191,7 +191,7 @@
 
     if (!pgw_policy_is_on(pgw_gateway_policy(links->gateway),
                           PGW_LOAD_WINDOW)) {
-        options.share = 1.0;
+        options.loading_share = 1.0;
     }
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
--- a/src/gateway/target_weights.c
+++ b/src/gateway/target_weights.c
@@ -5,24 +5,24 @@
 pgw_target_weights_newest(const struct pgw_target_weights *weights)
 {
     return weights->count == 0 ? 0
-                               : weights->named[weights->count - 1].version;
+                               : weights->versions[weights->count - 1].version;
 }
 
 bool
 pgw_target_weights_add(struct pgw_target_weights *weights, uint64_t version,
-                       uint64_t at_us)
+                       uint64_t announced_at_us)
 {
     if (version <= pgw_target_weights_newest(weights)) {
         return false;
     }
     if (weights->count == PGW_TARGET_WEIGHTS_MAX) {
-        /* The time of the oldest one runs out first. */
-        memmove(weights->named, weights->named + 1,
-                (PGW_TARGET_WEIGHTS_MAX - 1) * sizeof(weights->named[0]));
+        /* The deadline of the oldest version passes first. */
+        memmove(weights->versions, weights->versions + 1,
+                (PGW_TARGET_WEIGHTS_MAX - 1) * sizeof(weights->versions[0]));
         weights->count--;
     }
-    weights->named[weights->count++] =
-        (struct pgw_target_version){.version = version, .at_us = at_us};
+    weights->versions[weights->count++] = (struct pgw_target_version){
+        .version = version, .announced_at_us = announced_at_us};
     return true;
 }
 
@@ -33,8 +33,8 @@
     uint64_t least = 0;
 
     for (size_t i = 0; i < weights->count; i++) {
-        if (now_us >= weights->named[i].at_us + limit_us) {
-            least = weights->named[i].version;
+        if (now_us >= weights->versions[i].announced_at_us + limit_us) {
+            least = weights->versions[i].version;
         }
     }
     return least;
@@ -46,8 +46,8 @@
                                  uint64_t now_us)
 {
     for (size_t i = 0; i < weights->count; i++) {
-        if (weights->named[i].version > version) {
-            uint64_t end_us = weights->named[i].at_us + limit_us;
+        if (weights->versions[i].version > version) {
+            uint64_t end_us = weights->versions[i].announced_at_us + limit_us;
 
             return end_us > now_us ? end_us - now_us : 0;
         }
--- a/src/gateway/target_weights.h
+++ b/src/gateway/target_weights.h
@@ -6,58 +6,60 @@
 #include <stdint.h>
 
 /**
- * DOC: Versions of a model's weights that were named
+ * DOC: Announced versions of a model's weights
  *
- * A version may be named before the one before it is in place everywhere, and
- * the time in which engines have to follow runs for each on its own. So the
- * time of each is kept, not that of the newest alone.
+ * A version may be announced before the previous one is loaded everywhere, and
+ * each version has its own deadline by which engines must run it or a newer
+ * one. So the announcement time of each is kept, not just of the newest.
  */
 
-/* Versions whose time may still run; ten seconds with one each second. */
+/* Versions whose deadline may not have passed yet: covers ten seconds with one
+ * version per second. */
 #define PGW_TARGET_WEIGHTS_MAX 10
 
 /**
- * struct pgw_target_version - one version
+ * struct pgw_target_version - one announced version
  * @version: its number
- * @at_us: when it was named
+ * @announced_at_us: when it was announced, in monotonic time
  */
 struct pgw_target_version {
     uint64_t version;
-    uint64_t at_us;
+    uint64_t announced_at_us;
 };
 
 /**
- * struct pgw_target_weights - the versions of one model, ascending
- * @named: the last ones
- * @count: number of @named
+ * struct pgw_target_weights - the announced versions of one model, ascending
+ * @versions: the most recent ones
+ * @count: number of @versions
  */
 struct pgw_target_weights {
-    struct pgw_target_version named[PGW_TARGET_WEIGHTS_MAX];
+    struct pgw_target_version versions[PGW_TARGET_WEIGHTS_MAX];
     size_t count;
 };
 
 /**
- * pgw_target_weights_add() - a version was named
- * @weights: of its model
+ * pgw_target_weights_add() - add an announced version
+ * @weights: versions of its model
  * @version: its number
- * @at_us: when it was named
+ * @announced_at_us: when it was announced, in monotonic time
  *
- * Return: whether it is newer than all before.
+ * Return: true if it is newer than all others; false: it was ignored.
  */
 bool pgw_target_weights_add(struct pgw_target_weights *weights,
-                            uint64_t version, uint64_t at_us);
+                            uint64_t version, uint64_t announced_at_us);
 
-/** pgw_target_weights_newest() - the newest version, 0: none was named */
+/** pgw_target_weights_newest() - the newest announced version, 0: none */
 uint64_t pgw_target_weights_newest(const struct pgw_target_weights *weights);
 
 /**
  * pgw_target_weights_oldest_usable() - the oldest version that may still be
  * used
- * @weights: of the model
- * @limit_us: for how long older ones may be used after a version was named
+ * @weights: versions of the model
+ * @limit_us: how long older versions may be used after the announcement of a
+ *   version
  * @now_us: monotonic time
  *
- * Return: the version, 0: any.
+ * Return: the version; 0: all versions are usable.
  */
 uint64_t
 pgw_target_weights_oldest_usable(const struct pgw_target_weights *weights,
@@ -65,7 +67,7 @@
 
 /**
  * pgw_target_weights_usable_for_us() - how long an engine may still be used
- * @weights: of its model
+ * @weights: versions of its model
  * @version: version that it runs
  * @limit_us: as above
  * @now_us: monotonic time
--- a/src/gateway/weights_order.c
+++ b/src/gateway/weights_order.c
@@ -2,10 +2,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* An engine that stays announced for so long without loading is given back to
- * the entries: it would serve nobody for an order that does not come through.
- */
-#define ANNOUNCED_MAX_US 6000000
+/* Longest time for which a load stays announced without an order being sent.
+ * After that the engine is announced as available, or it would serve nobody
+ * while its order cannot be sent. */
+#define ANNOUNCEMENT_MAX_US 6000000
 
 void
 pgw_weights_order_init(struct pgw_weights_order *order,
@@ -16,155 +16,159 @@
 }
 
 void
-pgw_weights_order_want(struct pgw_weights_order *order, uint64_t version,
-                       uint64_t start_in_us, uint64_t now_us)
+pgw_weights_order_set_target(struct pgw_weights_order *order, uint64_t version,
+                             uint64_t start_in_us, uint64_t now_us)
 {
-    if (version < order->wanted) {
+    if (version < order->target_version) {
         return;
     }
-    /* The turn of a rollout that is under way counts on: a version that is
-     * named meanwhile takes the place of the one before. Once the order for
-     * that one is out, the next version has a turn of its own. */
-    if (order->wanted <= order->running ||
-        (order->sent && version > order->wanted)) {
-        order->due_us = now_us + start_in_us;
+    /* A newer target inherits the scheduled start of a rollout whose order
+     * was not sent yet. Once the order is in flight, the newer target has a
+     * start time of its own. */
+    if (order->target_version <= order->running_version ||
+        (order->in_flight && version > order->target_version)) {
+        order->start_at_us = now_us + start_in_us;
     }
     else {
-        order->due_us = MIN(order->due_us, now_us + start_in_us);
+        order->start_at_us = MIN(order->start_at_us, now_us + start_in_us);
     }
-    order->wanted = version;
+    order->target_version = version;
 }
 
 void
-pgw_weights_order_report(struct pgw_weights_order *order, uint64_t version,
-                         bool busy, uint32_t queued, uint64_t now_us)
+pgw_weights_order_apply_report(struct pgw_weights_order *order,
+                               uint64_t version, bool busy,
+                               uint32_t queued_requests, uint64_t now_us)
 {
-    order->running = version;
-    order->queued = queued;
-    if (!order->sent || busy ||
+    order->running_version = version;
+    order->queued_requests = queued_requests;
+    if (!order->in_flight || busy ||
         now_us - order->sent_us < order->options.report_lag_us) {
         return;
     }
-    /* Not busy any more: an accepted order is done; one without an answer is
-     * settled once it cannot be on its way any longer. */
-    if (version >= order->wanted || order->accepted ||
-        now_us - order->sent_us >= order->options.settle_us) {
-        order->sent = false;
+    /* The engine is idle: an accepted order is done, and one without an
+     * answer is given up once it can no longer arrive. */
+    if (version >= order->target_version || order->accepted ||
+        now_us - order->sent_us >= order->options.unknown_outcome_us) {
+        order->in_flight = false;
         order->accepted = false;
     }
 }
 
 void
-pgw_weights_order_restarted(struct pgw_weights_order *order)
+pgw_weights_order_handle_restart(struct pgw_weights_order *order)
 {
-    order->sent = false;
+    order->in_flight = false;
     order->accepted = false;
-    order->queued = 0;
+    order->queued_requests = 0;
 }
 
 void
-pgw_weights_order_token(struct pgw_weights_order *order, uint64_t token,
-                        uint64_t now_us)
+pgw_weights_order_set_token(struct pgw_weights_order *order, uint64_t token,
+                            uint64_t now_us)
 {
-    order->asked_token = false;
+    order->token_requested = false;
     order->token = MAX(order->token, token);
     if (token == 0) {
-        order->not_before_us = now_us + order->options.token_again_us;
+        order->retry_at_us = now_us + order->options.token_retry_delay_us;
     }
 }
 
 void
-pgw_weights_order_sent(struct pgw_weights_order *order, uint64_t now_us)
+pgw_weights_order_mark_sent(struct pgw_weights_order *order, uint64_t now_us)
 {
-    order->sent = true;
+    order->in_flight = true;
     order->accepted = false;
     order->sent_us = now_us;
 }
 
 void
-pgw_weights_order_answer(struct pgw_weights_order *order,
-                         enum pgw_order_answer answer, uint64_t now_us)
+pgw_weights_order_handle_answer(struct pgw_weights_order *order,
+                                enum pgw_order_answer answer, uint64_t now_us)
 {
     switch (answer) {
     case PGW_ORDER_ACCEPTED:
         order->accepted = true;
         return;
     case PGW_ORDER_LOST:
-        /* May have been taken or may be later: the reports will tell. */
+        /* The engine may have accepted the order or may still get it; its
+         * reports show which. */
         return;
     case PGW_ORDER_FENCED:
         order->token = 0;
         break;
     case PGW_ORDER_BUSY:
-    case PGW_ORDER_OTHER:
+    case PGW_ORDER_WRONG_INSTANCE:
     case PGW_ORDER_REFUSED:
         break;
     }
-    order->sent = false;
-    order->not_before_us = now_us + order->options.again_us;
+    order->in_flight = false;
+    order->retry_at_us = now_us + order->options.retry_delay_us;
 }
 
 static enum pgw_weights_order_step
-rest_until(struct pgw_weights_order *order, uint64_t us)
+wait_until(struct pgw_weights_order *order, uint64_t at_us)
 {
-    order->next_us = us;
-    return PGW_WEIGHTS_REST;
+    order->next_step_us = at_us;
+    return PGW_WEIGHTS_WAIT;
 }
 
 static enum pgw_weights_order_step
-open_again(struct pgw_weights_order *order)
+announce_available(struct pgw_weights_order *order)
 {
     order->announced = false;
-    return PGW_WEIGHTS_OPEN;
+    return PGW_WEIGHTS_ANNOUNCE_AVAILABLE;
 }
 
 enum pgw_weights_order_step
-pgw_weights_order_step(struct pgw_weights_order *order, uint64_t now_us)
+pgw_weights_order_next_step(struct pgw_weights_order *order, uint64_t now_us)
 {
-    if (order->sent) {
-        return rest_until(order, now_us + order->options.again_us / 3);
+    if (order->in_flight) {
+        return wait_until(order, now_us + order->options.retry_delay_us / 3);
     }
-    if (order->wanted <= order->running) {
-        return order->announced ? open_again(order) : rest_until(order, 0);
+    if (order->target_version <= order->running_version) {
+        return order->announced ? announce_available(order)
+                                : wait_until(order, 0);
     }
-    if (now_us < order->due_us) {
-        return order->announced ? open_again(order)
-                                : rest_until(order, order->due_us);
+    if (now_us < order->start_at_us) {
+        return order->announced ? announce_available(order)
+                                : wait_until(order, order->start_at_us);
     }
-    if (now_us < order->not_before_us) {
-        return rest_until(order, order->not_before_us);
+    if (now_us < order->retry_at_us) {
+        return wait_until(order, order->retry_at_us);
     }
     if (order->token == 0) {
-        if (order->asked_token) {
-            return rest_until(order, 0);
+        if (order->token_requested) {
+            return wait_until(order, 0);
         }
-        order->asked_token = true;
-        return PGW_WEIGHTS_GET_TOKEN;
+        order->token_requested = true;
+        return PGW_WEIGHTS_REQUEST_TOKEN;
     }
     if (!order->announced) {
         order->announced = true;
         order->announced_us = now_us;
-        return PGW_WEIGHTS_ANNOUNCE;
+        return PGW_WEIGHTS_ANNOUNCE_LOADING;
     }
-    if (now_us < order->announced_us + order->options.announce_us) {
-        return rest_until(order,
-                          order->announced_us + order->options.announce_us);
+    if (now_us < order->announced_us + order->options.announce_lead_us) {
+        return wait_until(order, order->announced_us +
+                                     order->options.announce_lead_us);
     }
-    if (now_us > order->announced_us + ANNOUNCED_MAX_US) {
-        order->not_before_us = now_us + order->options.again_us;
-        return open_again(order);
+    if (now_us > order->announced_us + ANNOUNCEMENT_MAX_US) {
+        order->retry_at_us = now_us + order->options.retry_delay_us;
+        return announce_available(order);
     }
     /*
-     * Failure: an engine is told to load while requests wait there. Symptom:
-     * it refuses all of them at once, and those that have no repeat left are
-     * refused to their callers. Nothing new comes since it was announced, so
-     * the queue empties as runs end, before which it would not load anyway;
-     * each report that says so is followed by a step.
+     * Failure: an engine is ordered to load while requests are queued there.
+     * Symptom: it refuses all of them at once, and callers whose requests have
+     * no retry left get an error. Entries have stopped sending since the load
+     * was announced, so the queue empties as runs end, and the engine would
+     * not load before they end anyway. Each report is followed by a step, so
+     * the order is sent as soon as the queue is empty.
      */
-    if (order->queued > 0 &&
-        now_us < order->announced_us + order->options.drain_us) {
-        return rest_until(order,
-                          order->announced_us + order->options.drain_us);
+    if (order->queued_requests > 0 &&
+        now_us < order->announced_us + order->options.drain_timeout_us) {
+        return wait_until(order, order->announced_us +
+                                     order->options.drain_timeout_us);
     }
-    return PGW_WEIGHTS_ORDER;
+    return PGW_WEIGHTS_SEND_ORDER;
 }
--- a/src/gateway/weights_order.h
+++ b/src/gateway/weights_order.h
@@ -7,149 +7,166 @@
 /**
  * DOC: When an engine is ordered to load new weights
  *
- * A pure machine: what is known goes in with the clock, what to do next comes
- * out. It gives one order at a time, waits for its turn, and settles an order
- * whose answer was lost by what the engine reports.
+ * A state machine without I/O: the caller passes in events and the clock and
+ * carries out the step that comes out. At most one order is in flight. An
+ * order whose answer was lost is resolved from the engine's reports.
  */
 
 /**
  * struct pgw_weights_order_options - times
- * @announce_us: from telling the entries to giving the order, so that nothing
- *   more is sent to an engine that is about to refuse it
- * @drain_us: how much longer the order waits at most for the engine's queue to
- *   be empty: an engine refuses what waits there when it is given the order.
- *   300 ms: refusals on six days of two deployments 1,831 to 1,469; 600 ms: no
- *   better for callers, and each load begins later
- * @again_us: after a refusal or a lost answer, before the next try
- * @settle_us: an order without an answer may be carried out so much later;
- *   meanwhile the engine's count of accepted orders keeps a second one apart
- * @token_again_us: pause after no fencing token could be had
- * @report_lag_us: how old a report may be; one that comes sooner after an
- *   order says nothing of it. An engine reports to its own machine without lag
+ * @announce_lead_us: delay between announcing the load to the entries and
+ *   sending the order, so that entries stop sending requests to the engine
+ *   before it refuses them
+ * @drain_timeout_us: after that, how long the order waits at most for the
+ *   engine's queue to empty: the engine refuses all queued requests when it
+ *   gets the order. Without this wait about a quarter more requests are
+ *   refused; 600 ms refuses no fewer than 300 ms and delays each load
+ * @retry_delay_us: delay before the next attempt after a refusal
+ * @unknown_outcome_us: how long an order without an answer may still be
+ *   carried out. No second order is sent meanwhile; should both arrive, the
+ *   engine's count of accepted orders makes it reject the second
+ * @token_retry_delay_us: delay before the next request for a fencing token
+ *   after none was available
+ * @report_lag_us: maximum age of a report. A report that arrives sooner than
+ *   this after an order may predate it and is not used to resolve the order.
+ *   Reports to the engine's own machine have no lag
  */
 struct pgw_weights_order_options {
-    uint64_t announce_us;
-    uint64_t drain_us;
-    uint64_t again_us;
-    uint64_t settle_us;
-    uint64_t token_again_us;
+    uint64_t announce_lead_us;
+    uint64_t drain_timeout_us;
+    uint64_t retry_delay_us;
+    uint64_t unknown_outcome_us;
+    uint64_t token_retry_delay_us;
     uint64_t report_lag_us;
 };
 
 #define PGW_WEIGHTS_ORDER_OPTIONS_INIT                                        \
     {                                                                         \
-        .announce_us = 15000, .drain_us = 300000, .again_us = 150000,         \
-        .settle_us = 600000, .token_again_us = 300000                         \
+        .announce_lead_us = 15000, .drain_timeout_us = 300000,                \
+        .retry_delay_us = 150000, .unknown_outcome_us = 600000,               \
+        .token_retry_delay_us = 300000                                        \
     }
 
 /**
- * enum pgw_weights_order_step - what to do now
- * @PGW_WEIGHTS_REST: nothing, until @next_us
- * @PGW_WEIGHTS_GET_TOKEN: ask for a fencing token
- * @PGW_WEIGHTS_ANNOUNCE: tell entries that the engine is about to load
- * @PGW_WEIGHTS_ORDER: give the order
- * @PGW_WEIGHTS_OPEN: tell entries that the engine takes requests again
+ * enum pgw_weights_order_step - what the caller does next
+ * @PGW_WEIGHTS_WAIT: nothing until @next_step_us or the next event
+ * @PGW_WEIGHTS_REQUEST_TOKEN: request a fencing token
+ * @PGW_WEIGHTS_ANNOUNCE_LOADING: report to the entries that the engine is
+ *   about to load
+ * @PGW_WEIGHTS_SEND_ORDER: send the order to the engine
+ * @PGW_WEIGHTS_ANNOUNCE_AVAILABLE: report to the entries that the engine takes
+ *   requests again
  */
 enum pgw_weights_order_step {
-    PGW_WEIGHTS_REST,
-    PGW_WEIGHTS_GET_TOKEN,
-    PGW_WEIGHTS_ANNOUNCE,
-    PGW_WEIGHTS_ORDER,
-    PGW_WEIGHTS_OPEN,
+    PGW_WEIGHTS_WAIT,
+    PGW_WEIGHTS_REQUEST_TOKEN,
+    PGW_WEIGHTS_ANNOUNCE_LOADING,
+    PGW_WEIGHTS_SEND_ORDER,
+    PGW_WEIGHTS_ANNOUNCE_AVAILABLE,
 };
 
 /**
  * struct pgw_weights_order - state for one model of one engine
- * @wanted: version that it is to run
- * @running: version that it reports
- * @due_us: when its turn comes
- * @announced: entries were told that it loads
- * @announced_us: when
- * @queued: requests that wait at the engine
- * @asked_token: a token is on its way
+ * @target_version: version to load
+ * @running_version: version in the engine's last report
+ * @start_at_us: when the engine is to start loading
+ * @announced: the load is announced to the entries
+ * @announced_us: when it was announced
+ * @queued_requests: length of the engine's queue
+ * @token_requested: a request for a fencing token is pending
  * @token: fencing token, 0 without one
- * @sent: an order is on its way or its answer is unknown
- * @accepted: the engine said that it carries it out
- * @not_before_us: pause after a refusal
- * @next_us: when to step again at the latest, 0: on news only
+ * @in_flight: an order was sent and is not resolved yet
+ * @accepted: the engine accepted that order
+ * @sent_us: when it was sent
+ * @retry_at_us: no attempt before this time
+ * @next_step_us: when to call pgw_weights_order_next_step() again at the
+ *   latest, 0: after the next event
  */
 struct pgw_weights_order {
     struct pgw_weights_order_options options;
-    uint64_t wanted;
-    uint64_t running;
-    uint64_t due_us;
+    uint64_t target_version;
+    uint64_t running_version;
+    uint64_t start_at_us;
     bool announced;
     uint64_t announced_us;
-    uint32_t queued;
-    bool asked_token;
+    uint32_t queued_requests;
+    bool token_requested;
     uint64_t token;
-    bool sent;
+    bool in_flight;
     bool accepted;
     uint64_t sent_us;
-    uint64_t not_before_us;
-    uint64_t next_us;
+    uint64_t retry_at_us;
+    uint64_t next_step_us;
 };
 
 void pgw_weights_order_init(struct pgw_weights_order *order,
                             const struct pgw_weights_order_options *options);
 
 /**
- * pgw_weights_order_want() - a version was named, or its turn has come
+ * pgw_weights_order_set_target() - set the version to load and when to start
  * @order: the state
- * @version: older ones are ignored
- * @start_in_us: when to begin at the latest; the soonest that was said holds
+ * @version: version to load; older ones than the current target are ignored
+ * @start_in_us: delay until the load starts; calls for one version keep the
+ *   earliest start
  * @now_us: monotonic time
  */
-void pgw_weights_order_want(struct pgw_weights_order *order, uint64_t version,
-                            uint64_t start_in_us, uint64_t now_us);
+void pgw_weights_order_set_target(struct pgw_weights_order *order,
+                                  uint64_t version, uint64_t start_in_us,
+                                  uint64_t now_us);
 
 /**
- * pgw_weights_order_report() - the engine's word
+ * pgw_weights_order_apply_report() - update the state from an engine's report
  * @order: the state
- * @version: weights that it runs
- * @busy: it is busy with an order
- * @queued: requests that wait for a place there
+ * @version: version that the engine runs
+ * @busy: the engine is executing an order
+ * @queued_requests: length of the engine's queue
  * @now_us: monotonic time
  */
-void pgw_weights_order_report(struct pgw_weights_order *order,
-                              uint64_t version, bool busy, uint32_t queued,
-                              uint64_t now_us);
+void pgw_weights_order_apply_report(struct pgw_weights_order *order,
+                                    uint64_t version, bool busy,
+                                    uint32_t queued_requests, uint64_t now_us);
 
-/** pgw_weights_order_restarted() - the engine has started anew: an order that
- * was on its way went to the process before */
-void pgw_weights_order_restarted(struct pgw_weights_order *order);
+/** pgw_weights_order_handle_restart() - the engine's process has restarted: an
+ * order in flight went to the previous process */
+void pgw_weights_order_handle_restart(struct pgw_weights_order *order);
 
-/** pgw_weights_order_token() - a fencing token, 0: none to be had */
-void pgw_weights_order_token(struct pgw_weights_order *order, uint64_t token,
-                             uint64_t now_us);
+/** pgw_weights_order_set_token() - set the fencing token; 0: none is
+ * available, and it is requested again later */
+void pgw_weights_order_set_token(struct pgw_weights_order *order,
+                                 uint64_t token, uint64_t now_us);
 
-/** pgw_weights_order_sent() - the order is on its way */
-void pgw_weights_order_sent(struct pgw_weights_order *order, uint64_t now_us);
+/** pgw_weights_order_mark_sent() - the order is in flight */
+void pgw_weights_order_mark_sent(struct pgw_weights_order *order,
+                                 uint64_t now_us);
 
 /**
  * enum pgw_order_answer - the engine's answer to an order
- * @PGW_ORDER_ACCEPTED: it carries it out, or the order already holds
- * @PGW_ORDER_BUSY: another order is on its way, or the count differs
- * @PGW_ORDER_FENCED: the token is lower than one that it has seen
- * @PGW_ORDER_OTHER: another incarnation has the address
- * @PGW_ORDER_REFUSED: it takes no such order
- * @PGW_ORDER_LOST: no answer came
+ * @PGW_ORDER_ACCEPTED: it executes the order, or already has
+ * @PGW_ORDER_BUSY: it executes another order, or the count of accepted orders
+ *   differs
+ * @PGW_ORDER_FENCED: it has seen a higher fencing token
+ * @PGW_ORDER_WRONG_INSTANCE: another incarnation has the address
+ * @PGW_ORDER_REFUSED: it does not accept this order
+ * @PGW_ORDER_LOST: no answer arrived
  */
 enum pgw_order_answer {
     PGW_ORDER_ACCEPTED,
     PGW_ORDER_BUSY,
     PGW_ORDER_FENCED,
-    PGW_ORDER_OTHER,
+    PGW_ORDER_WRONG_INSTANCE,
     PGW_ORDER_REFUSED,
     PGW_ORDER_LOST,
 };
 
-/** pgw_weights_order_answer() - what became of the order */
-void pgw_weights_order_answer(struct pgw_weights_order *order,
-                              enum pgw_order_answer answer, uint64_t now_us);
+/** pgw_weights_order_handle_answer() - apply the engine's answer to the order
+ * in flight */
+void pgw_weights_order_handle_answer(struct pgw_weights_order *order,
+                                     enum pgw_order_answer answer,
+                                     uint64_t now_us);
 
-/** pgw_weights_order_step() - what to do now; ask again until it rests */
+/** pgw_weights_order_next_step() - what to do now; call again after each step
+ * until it returns %PGW_WEIGHTS_WAIT */
 enum pgw_weights_order_step
-pgw_weights_order_step(struct pgw_weights_order *order, uint64_t now_us);
+pgw_weights_order_next_step(struct pgw_weights_order *order, uint64_t now_us);
 
 #endif
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -3,39 +3,41 @@
 #include <stdlib.h>
 
 /**
- * DOC: A rollout under load, played by the decisions alone
+ * DOC: Simulated rollout under load, which runs only the decision functions
  *
- * 18 engines serve 200 short and 25 long answers a second while a version is
- * named. What callers get: a place for each request, and as many engines as
- * can be, since none is away longer than it loads.
+ * A version is announced while 18 engines serve a mix of short and long
+ * requests. Each request must find an engine, and engines must be unavailable
+ * for little longer than their loads take.
  */
 
 #define ENGINES 18
-#define MODEL "guide"
+#define MODEL_NAME "guide"
 #define STEP_US UINT64_C(5000)
 #define LOAD_US UINT64_C(1300000)
 #define SHORT_US UINT64_C(60000)
 #define LONG_US UINT64_C(1500000)
-/* One arrival a step, each eighth one is long. */
+/* One request arrives in each step, and every eighth one is long. */
 #define LONG_EVERY 8
 #define STEPS 6000
-#define NAMED_AT_STEP 400
+#define ANNOUNCED_AT_STEP 400
 #define RUNS_MAX 4096
 
+/** struct run - a request that runs at an engine */
 struct run {
     unsigned engine;
     uint64_t ends_us;
 };
 
 /**
- * struct play - the pool and what runs there
- * @announced_us: since when an engine takes nothing more, 0: it does
- * @loaded_us: when its load is over, 0: its runs have not ended yet
- * @away_us: time that all engines were away together
+ * struct simulation - the pool and its running requests
+ * @announced_us: when the load of an engine was announced, since when it gets
+ *   no requests; 0: no load is announced
+ * @loaded_us: when its load ends, 0: the load waits for its runs to end
+ * @unavailable_us: sum of the times for which engines were unavailable
  * @unserved: requests that found no engine
- * @most_away: engines away at the same time
+ * @most_unavailable: maximum of engines unavailable at the same time
  */
-struct play {
+struct simulation {
     struct pgw_upstream_table *table;
     struct pgw_upstream *engines[ENGINES];
     struct pgw_rollout_candidate window[ENGINES];
@@ -44,16 +46,16 @@
     struct run runs[RUNS_MAX];
     size_t run_count;
     uint64_t now_us;
-    uint64_t away_us;
+    uint64_t unavailable_us;
     unsigned unserved;
-    unsigned most_away;
+    unsigned most_unavailable;
 };
 
 static void
-play_init(struct play *play)
+simulation_init(struct simulation *simulation)
 {
-    play->table = pgw_upstream_table_new("a");
-    play->now_us = 100000000;
+    simulation->table = pgw_upstream_table_new("a");
+    simulation->now_us = 100000000;
     for (unsigned i = 0; i < ENGINES; i++) {
         char id[8];
         char address[32];
@@ -63,161 +65,170 @@
             .address = address,
             .zone = "a",
             .slots = 64,
-            .models = {{(char *)MODEL, 1}},
+            .models = {{(char *)MODEL_NAME, 1}},
             .model_count = 1,
         };
 
         g_snprintf(id, sizeof(id), "e%u", i);
         g_snprintf(address, sizeof(address), "127.0.0.1:%u", 1000 + i);
-        play->engines[i] = pgw_upstream_table_put(play->table, &facts);
+        simulation->engines[i] =
+            pgw_upstream_table_put(simulation->table, &facts);
     }
 }
 
 static void
-end_runs(struct play *play)
+remove_ended_runs(struct simulation *simulation)
 {
-    for (size_t i = 0; i < play->run_count;) {
-        if (play->runs[i].ends_us > play->now_us) {
+    for (size_t i = 0; i < simulation->run_count;) {
+        if (simulation->runs[i].ends_us > simulation->now_us) {
             i++;
             continue;
         }
-        play->engines[play->runs[i].engine]->inflight--;
-        play->runs[i] = play->runs[--play->run_count];
+        simulation->engines[simulation->runs[i].engine]->inflight--;
+        simulation->runs[i] = simulation->runs[--simulation->run_count];
     }
 }
 
 static void
-arrive(struct play *play, bool is_long,
-       const struct pgw_choose_options *options)
+send_request(struct simulation *simulation, bool is_long,
+             const struct pgw_choose_options *options)
 {
     struct pgw_prompt prompt = {
         .parts = {{.id = 1, .tokens = 300}}, .part_count = 1, .tokens = 300};
     struct pgw_choose_input input = {
-        .pool = pgw_upstream_table_pool(play->table, "s"),
+        .pool = pgw_upstream_table_pool(simulation->table, "s"),
         .prompt = &prompt,
-        .model = MODEL,
+        .model = MODEL_NAME,
         .read_rate = 60,
         .run_ms = (double)(is_long ? LONG_US : SHORT_US) / 1000,
-        .now_us = play->now_us,
-        .random = play->now_us,
+        .now_us = simulation->now_us,
+        .random = simulation->now_us,
     };
     struct pgw_choice choice;
 
     pgw_choose(&choice, &input, options);
     if (choice.upstream == NULL) {
-        play->unserved++;
+        simulation->unserved++;
         return;
     }
     for (unsigned i = 0; i < ENGINES; i++) {
-        if (play->engines[i] == choice.upstream) {
-            g_assert_cmpuint(play->run_count, <, RUNS_MAX);
-            play->runs[play->run_count++] = (struct run){
+        if (simulation->engines[i] == choice.upstream) {
+            g_assert_cmpuint(simulation->run_count, <, RUNS_MAX);
+            simulation->runs[simulation->run_count++] = (struct run){
                 .engine = i,
-                .ends_us = play->now_us + (is_long ? LONG_US : SHORT_US),
+                .ends_us = simulation->now_us + (is_long ? LONG_US : SHORT_US),
             };
         }
     }
     choice.upstream->inflight++;
 }
 
-/* An engine that was told to begins to load once its runs have ended. */
+/* An engine whose load is announced starts to load once its runs have ended.
+ */
 static void
-load(struct play *play, unsigned engine)
+advance_load(struct simulation *simulation, unsigned engine)
 {
-    struct pgw_upstream *upstream = play->engines[engine];
+    struct pgw_upstream *upstream = simulation->engines[engine];
 
-    if (play->announced_us[engine] == 0) {
+    if (simulation->announced_us[engine] == 0) {
         return;
     }
-    play->away_us += STEP_US;
-    if (play->loaded_us[engine] == 0) {
+    simulation->unavailable_us += STEP_US;
+    if (simulation->loaded_us[engine] == 0) {
         if (upstream->inflight == 0) {
-            play->loaded_us[engine] = play->now_us + LOAD_US;
+            simulation->loaded_us[engine] = simulation->now_us + LOAD_US;
         }
         return;
     }
-    if (play->now_us >= play->loaded_us[engine]) {
-        pgw_upstream_set_version(upstream, MODEL, 2);
+    if (simulation->now_us >= simulation->loaded_us[engine]) {
+        pgw_upstream_set_version(upstream, MODEL_NAME, 2);
         pgw_upstream_set_loading(upstream, false, 0);
-        play->announced_us[engine] = 0;
+        simulation->announced_us[engine] = 0;
     }
 }
 
 static void
-open_window(struct play *play)
+update_window(struct simulation *simulation)
 {
     static const struct pgw_rollout_window_options options =
         PGW_ROLLOUT_WINDOW_OPTIONS_INIT;
-    unsigned away = 0;
+    unsigned unavailable = 0;
 
     for (unsigned i = 0; i < ENGINES; i++) {
-        play->window[i] = (struct pgw_rollout_candidate){
-            .place = (i * 7) % ENGINES,
-            .version = pgw_upstream_version(play->engines[i], MODEL),
-            .loading = play->announced_us[i] > 0,
-            .context = &play->engines[i],
+        simulation->window[i] = (struct pgw_rollout_candidate){
+            .rank = (i * 7) % ENGINES,
+            .version =
+                pgw_upstream_version(simulation->engines[i], MODEL_NAME),
+            .loading = simulation->announced_us[i] > 0,
+            .context = &simulation->engines[i],
         };
-        away += play->announced_us[i] > 0;
+        unavailable += simulation->announced_us[i] > 0;
     }
-    play->most_away = MAX(play->most_away, away);
-    pgw_rollout_window_select(play->window, ENGINES, 2, &options);
+    simulation->most_unavailable =
+        MAX(simulation->most_unavailable, unavailable);
+    pgw_rollout_window_select(simulation->window, ENGINES, 2, &options);
     for (unsigned i = 0; i < ENGINES; i++) {
-        struct pgw_upstream **upstream = play->window[i].context;
-        size_t engine = (size_t)(upstream - play->engines);
+        struct pgw_upstream **upstream = simulation->window[i].context;
+        size_t engine = (size_t)(upstream - simulation->engines);
 
-        (*upstream)->loads_next = play->window[i].next;
-        if (play->window[i].go) {
-            play->announced_us[engine] = play->now_us;
+        (*upstream)->loads_next = simulation->window[i].starts_next;
+        if (simulation->window[i].may_start) {
+            simulation->announced_us[engine] = simulation->now_us;
             pgw_upstream_set_loading(*upstream, true, UINT64_MAX);
         }
     }
 }
 
 static void
-play_all(struct play *play, const struct pgw_choose_options *options)
+run_simulation(struct simulation *simulation,
+               const struct pgw_choose_options *options)
 {
-    play_init(play);
+    simulation_init(simulation);
     for (unsigned step = 0; step < STEPS; step++) {
-        end_runs(play);
-        arrive(play, step % LONG_EVERY == 0, options);
-        if (step >= NAMED_AT_STEP) {
+        remove_ended_runs(simulation);
+        send_request(simulation, step % LONG_EVERY == 0, options);
+        if (step >= ANNOUNCED_AT_STEP) {
             for (unsigned i = 0; i < ENGINES; i++) {
-                load(play, i);
+                advance_load(simulation, i);
             }
-            open_window(play);
+            update_window(simulation);
         }
-        play->now_us += STEP_US;
+        simulation->now_us += STEP_US;
     }
     for (unsigned i = 0; i < ENGINES; i++) {
-        g_assert_cmpuint(pgw_upstream_version(play->engines[i], MODEL), ==, 2);
+        g_assert_cmpuint(
+            pgw_upstream_version(simulation->engines[i], MODEL_NAME), ==, 2);
     }
-    pgw_upstream_table_free(play->table);
+    pgw_upstream_table_free(simulation->table);
 }
 
 /*
- * Callers are served all the while, three of 18 engines are away at most, and
- * engines are away for little more than their loads: 18 times 1.3 s are 23 s.
- * With long runs on engines that load next they are away a quarter longer.
+ * All requests are served, at most three of 18 engines are unavailable at
+ * once, and the engines together are unavailable for little more than their
+ * loads take: 18 times 1.3 s are 23 s. If engines that load next still get
+ * long runs, the time grows by a quarter.
  */
 static void
-test_away_for_loads_alone(void)
+test_unavailable_for_loads_only(void)
 {
     struct pgw_choose_options options = PGW_CHOOSE_OPTIONS_INIT;
     struct pgw_policy policy = {0};
-    struct play *with = g_new0(struct play, 1);
-    struct play *without = g_new0(struct play, 1);
+    struct simulation *with = g_new0(struct simulation, 1);
+    struct simulation *without = g_new0(struct simulation, 1);
 
-    play_all(with, &options);
+    run_simulation(with, &options);
     policy.off[PGW_LOAD_NEXT] = true;
     pgw_choose_options_apply(&options, &policy);
-    play_all(without, &options);
-    g_test_message("engines away for %.1f s, %.1f s without",
-                   (double)with->away_us / 1e6,
-                   (double)without->away_us / 1e6);
+    run_simulation(without, &options);
+    g_test_message(
+        "engines unavailable for %.1f s, %.1f s without the mechanism",
+        (double)with->unavailable_us / 1e6,
+        (double)without->unavailable_us / 1e6);
     g_assert_cmpuint(with->unserved, ==, 0);
-    g_assert_cmpuint(with->most_away, <=, 3);
-    g_assert_cmpuint(with->away_us, <, ENGINES * LOAD_US * 125 / 100);
-    g_assert_cmpuint(without->away_us, >, with->away_us * 125 / 100);
+    g_assert_cmpuint(with->most_unavailable, <=, 3);
+    g_assert_cmpuint(with->unavailable_us, <, ENGINES * LOAD_US * 125 / 100);
+    g_assert_cmpuint(without->unavailable_us, >,
+                     with->unavailable_us * 125 / 100);
     g_free(with);
     g_free(without);
 }
@@ -226,6 +237,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/rollout_play/away", test_away_for_loads_alone);
+    g_test_add_func("/rollout_simulation/unavailable_for_loads_only",
+                    test_unavailable_for_loads_only);
     return g_test_run();
 }
--- a/tests/unit/test_target_weights.c
+++ b/tests/unit/test_target_weights.c
@@ -1,37 +1,37 @@
 #include "gateway/target_weights.h"
 #include <glib.h>
 
-#define LIMIT UINT64_C(6800000)
+#define LIMIT_US UINT64_C(6800000)
 
 /*
- * Version 2 is named and, before all engines have it, version 3. Engines that
- * still run version 1 are out once the time of version 2 is over: the time of
- * version 3 does not give them more.
+ * Version 3 is announced before all engines run version 2. Engines that still
+ * run version 1 are unusable after the deadline of version 2: the later
+ * deadline of version 3 does not extend it.
  */
 static void
-test_each_version_has_its_own_time(void)
+test_each_version_has_own_deadline(void)
 {
     struct pgw_target_weights weights = {0};
 
-    g_assert_cmpuint(pgw_target_weights_oldest_usable(&weights, LIMIT, LIMIT),
-                     ==, 0);
+    g_assert_cmpuint(
+        pgw_target_weights_oldest_usable(&weights, LIMIT_US, LIMIT_US), ==, 0);
     g_assert_true(pgw_target_weights_add(&weights, 2, 1000));
     g_assert_true(pgw_target_weights_add(&weights, 3, 5000000));
     g_assert_false(pgw_target_weights_add(&weights, 2, 6000000));
     g_assert_cmpuint(pgw_target_weights_newest(&weights), ==, 3);
+    g_assert_cmpuint(pgw_target_weights_oldest_usable(&weights, LIMIT_US,
+                                                      1000 + LIMIT_US - 1),
+                     ==, 0);
     g_assert_cmpuint(
-        pgw_target_weights_oldest_usable(&weights, LIMIT, 1000 + LIMIT - 1),
-        ==, 0);
-    g_assert_cmpuint(
-        pgw_target_weights_oldest_usable(&weights, LIMIT, 1000 + LIMIT), ==,
-        2);
-    g_assert_cmpuint(
-        pgw_target_weights_oldest_usable(&weights, LIMIT, 5000000 + LIMIT), ==,
-        3);
+        pgw_target_weights_oldest_usable(&weights, LIMIT_US, 1000 + LIMIT_US),
+        ==, 2);
+    g_assert_cmpuint(pgw_target_weights_oldest_usable(&weights, LIMIT_US,
+                                                      5000000 + LIMIT_US),
+                     ==, 3);
 }
 
-/* More versions than are remembered: the last ones count, and what was found
- * to be too old before does not become usable again. */
+/* More versions than are kept: the most recent ones count, and a version that
+ * was too old before does not become usable again. */
 static void
 test_many_versions(void)
 {
@@ -39,24 +39,25 @@
 
     for (uint64_t i = 1; i <= 50; i++) {
         uint64_t before =
-            pgw_target_weights_oldest_usable(&weights, LIMIT, i * 1000000);
+            pgw_target_weights_oldest_usable(&weights, LIMIT_US, i * 1000000);
 
         g_assert_true(pgw_target_weights_add(&weights, i, i * 1000000));
         g_assert_cmpuint(
-            pgw_target_weights_oldest_usable(&weights, LIMIT, i * 1000000), >=,
-            before);
+            pgw_target_weights_oldest_usable(&weights, LIMIT_US, i * 1000000),
+            >=, before);
     }
     g_assert_cmpuint(pgw_target_weights_newest(&weights), ==, 50);
     g_assert_cmpuint(
-        pgw_target_weights_oldest_usable(&weights, LIMIT, 50000000), ==, 43);
+        pgw_target_weights_oldest_usable(&weights, LIMIT_US, 50000000), ==,
+        43);
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/named_weights/own_time",
-                    test_each_version_has_its_own_time);
-    g_test_add_func("/named_weights/many", test_many_versions);
+    g_test_add_func("/target_weights/own_deadline",
+                    test_each_version_has_own_deadline);
+    g_test_add_func("/target_weights/many", test_many_versions);
     return g_test_run();
 }
