--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -3,39 +3,42 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* What an entry sends there is told to the others before the engine's own
- * report and events can say so. */
+/* Handles an entry's announcement of a request, or of the end of its prefill.
+ * Other entries get a report with the request before the engine's own reports
+ * and cache events can include it. */
 static void
-take_expected(struct pgw_engine_sidecar *guard,
-              const Pgw__ExpectedParts *message)
+handle_announcement(struct pgw_engine_sidecar *sidecar,
+                    const Pgw__ExpectedParts *message)
 {
     if (message->to_read == 0 && message->n_parts == 0) {
-        pgw_announced_prompts_end(&guard->announced, message->request);
+        pgw_announced_prompts_end(&sidecar->announced_prompts,
+                                  message->request);
         return;
     }
-    guard->arrivals.requests++;
+    sidecar->arrivals_since_poll.requests++;
     if (message->to_read >= PGW_LONG_PREFILL) {
-        pgw_announced_prompts_add(&guard->announced, message->request,
-                                  message->to_read, pgw_now_us());
+        pgw_announced_prompts_add(&sidecar->announced_prompts,
+                                  message->request, message->to_read,
+                                  pgw_now_us());
     }
-    guard->arrivals.memory += message->memory;
+    sidecar->arrivals_since_poll.kv_tokens += message->memory;
     for (size_t i = 0; i < message->n_parts; i++) {
-        pgw_cached_parts_expect(&guard->parts, message->parts[i]->key,
+        pgw_cached_parts_expect(&sidecar->cached_parts, message->parts[i]->key,
                                 message->parts[i]->tokens, pgw_now_us());
     }
-    if (guard->alive && pgw_engine_sidecar_has_reportable_change(guard)) {
-        pgw_engine_sidecar_report_to_all(guard, false);
+    if (sidecar->alive && pgw_engine_sidecar_has_reportable_change(sidecar)) {
+        pgw_engine_sidecar_report_to_entries(sidecar, false);
     }
 }
 
 static void
-take_hello(struct pgw_connected_entry *peer, const Pgw__Hello *hello)
+handle_hello(struct pgw_connected_entry *entry, const Pgw__Hello *hello)
 {
-    peer->far = strcmp(hello->zone, peer->guard->zone) != 0;
-    peer->on_request = hello->on_request;
-    peer->started_us = pgw_now_us() - hello->age_ms * 1000ULL;
-    if (peer->guard->alive && !peer->on_request) {
-        pgw_engine_sidecar_send_full_state(peer->guard, peer);
+    entry->is_remote = strcmp(hello->zone, entry->sidecar->zone) != 0;
+    entry->probe_only = hello->on_request;
+    entry->started_us = pgw_now_us() - hello->age_ms * 1000ULL;
+    if (entry->sidecar->alive && !entry->probe_only) {
+        pgw_engine_sidecar_send_full_state(entry->sidecar, entry);
     }
 }
 
@@ -43,29 +46,30 @@
 on_frame(struct pgw_link *link, enum pgw_frame_type type,
          ProtobufCMessage *message, void *context)
 {
-    struct pgw_connected_entry *peer = context;
+    struct pgw_connected_entry *entry = context;
 
     (void)link;
     if (type == PGW_FRAME_HELLO) {
-        take_hello(peer, (const Pgw__Hello *)message);
+        handle_hello(entry, (const Pgw__Hello *)message);
     }
     else if (type == PGW_FRAME_LOAD_WEIGHTS) {
         const Pgw__LoadWeights *load = (const Pgw__LoadWeights *)message;
 
         pgw_engine_sidecar_set_target_weights(
-            peer->guard, load->model, load->version,
+            entry->sidecar, load->model, load->version,
             load->start_in_ms * 1000ULL, load->instance);
     }
     else if (type == PGW_FRAME_EXPECTED_PARTS) {
-        take_expected(peer->guard, (const Pgw__ExpectedParts *)message);
+        handle_announcement(entry->sidecar,
+                            (const Pgw__ExpectedParts *)message);
     }
     else if (type == PGW_FRAME_ENGINE_PROBE) {
-        pgw_engine_sidecar_answer_probe(peer->guard, peer,
+        pgw_engine_sidecar_answer_probe(entry->sidecar, entry,
                                         (const Pgw__EngineProbe *)message);
     }
     else if (type == PGW_FRAME_QUOTA_ASK) {
-        pgw_engine_sidecar_take_quota_ask(peer,
-                                          (const Pgw__QuotaAsk *)message);
+        pgw_engine_sidecar_handle_quota_ask(entry,
+                                            (const Pgw__QuotaAsk *)message);
     }
     return false;
 }
@@ -73,13 +77,13 @@
 static void
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
-    struct pgw_connected_entry *peer = context;
+    struct pgw_connected_entry *entry = context;
 
     (void)link;
     pgw_log_info("entry_lost", "reason=%s",
                  error == NULL ? "closed" : error->message);
-    pgw_list_remove(&peer->in_guard);
-    g_free(peer);
+    pgw_list_remove(&entry->in_entries);
+    g_free(entry);
 }
 
 static const struct pgw_link_ops link_ops = {
@@ -90,19 +94,19 @@
 static void
 on_accept(int fd, void *context)
 {
-    struct pgw_engine_sidecar *guard = context;
-    struct pgw_connected_entry *peer = g_new0(struct pgw_connected_entry, 1);
+    struct pgw_engine_sidecar *sidecar = context;
+    struct pgw_connected_entry *entry = g_new0(struct pgw_connected_entry, 1);
     GError *error = NULL;
 
-    peer->guard = guard;
-    peer->link = pgw_link_accept(guard->loop, fd, &link_ops, peer, &error);
-    if (peer->link == NULL) {
+    entry->sidecar = sidecar;
+    entry->link = pgw_link_accept(sidecar->loop, fd, &link_ops, entry, &error);
+    if (entry->link == NULL) {
         pgw_log_warning("entry_link", "reason=%s", error->message);
         g_error_free(error);
-        g_free(peer);
+        g_free(entry);
         return;
     }
-    pgw_list_append(&guard->entries, &peer->in_guard);
+    pgw_list_append(&sidecar->entries, &entry->in_entries);
 }
 
 struct pgw_engine_sidecar *
@@ -110,90 +114,90 @@
                        const struct pgw_engine_sidecar_options *options,
                        GError **error)
 {
-    struct pgw_engine_sidecar *guard = g_new0(struct pgw_engine_sidecar, 1);
+    struct pgw_engine_sidecar *sidecar = g_new0(struct pgw_engine_sidecar, 1);
     struct pgw_call_pool_options pool = PGW_CALL_POOL_OPTIONS_INIT;
 
     pgw_engine_sidecar_register_order_metrics();
     pgw_engine_sidecar_register_poll_metrics();
     pgw_engine_sidecar_register_quota_metrics();
-    guard->loop = loop;
-    guard->options = *options;
-    pgw_list_init(&guard->entries);
+    sidecar->loop = loop;
+    sidecar->options = *options;
+    pgw_list_init(&sidecar->entries);
     if (options->listen.size > 0) {
-        guard->listener =
-            pgw_listener_new(loop, &options->listen, on_accept, guard, error);
-        if (guard->listener == NULL) {
-            g_free(guard);
+        sidecar->listener = pgw_listener_new(loop, &options->listen, on_accept,
+                                             sidecar, error);
+        if (sidecar->listener == NULL) {
+            g_free(sidecar);
             return NULL;
         }
     }
-    guard->instance = g_strdup(options->instance);
-    guard->zone = g_strdup(options->zone);
-    pgw_address_format(guard->engine, &options->engine);
-    guard->pool = pgw_call_pool_new(loop, &pool);
-    guard->report_body = g_string_new(NULL);
-    guard->events_body = g_string_new(NULL);
-    pgw_cached_parts_init(&guard->parts);
-    pgw_announced_prompts_init(&guard->announced);
-    guard->quotas = pgw_quota_buckets_new(&options->quotas);
-    guard->events_timer.on_due = pgw_engine_sidecar_events_due;
-    if (guard->listener != NULL) {
-        pgw_timer_start(loop, &guard->events_timer, 0);
-    }
-    guard->report_timer.on_due = pgw_engine_sidecar_report_due;
-    guard->step_timer.on_due = pgw_engine_sidecar_step_due;
-    pgw_timer_start(loop, &guard->report_timer, 0);
-    return guard;
+    sidecar->instance = g_strdup(options->instance);
+    sidecar->zone = g_strdup(options->zone);
+    pgw_address_format(sidecar->engine, &options->engine);
+    sidecar->pool = pgw_call_pool_new(loop, &pool);
+    sidecar->report_body = g_string_new(NULL);
+    sidecar->events_body = g_string_new(NULL);
+    pgw_cached_parts_init(&sidecar->cached_parts);
+    pgw_announced_prompts_init(&sidecar->announced_prompts);
+    sidecar->quotas = pgw_quota_buckets_new(&options->quotas);
+    sidecar->events_timer.on_due = pgw_engine_sidecar_on_events_timer;
+    if (sidecar->listener != NULL) {
+        pgw_timer_start(loop, &sidecar->events_timer, 0);
+    }
+    sidecar->report_timer.on_due = pgw_engine_sidecar_on_report_timer;
+    sidecar->step_timer.on_due = pgw_engine_sidecar_on_step_timer;
+    pgw_timer_start(loop, &sidecar->report_timer, 0);
+    return sidecar;
 }
 
 uint16_t
-pgw_engine_sidecar_port(const struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_port(const struct pgw_engine_sidecar *sidecar)
 {
-    return pgw_listener_port(guard->listener);
+    return pgw_listener_port(sidecar->listener);
 }
 
 unsigned
-pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *sidecar)
 {
     unsigned count = 0;
 
-    pgw_list_foreach (link, &guard->entries) {
+    pgw_list_foreach (link, &sidecar->entries) {
         count++;
     }
     return count;
 }
 
 void
-pgw_engine_sidecar_free(struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_free(struct pgw_engine_sidecar *sidecar)
 {
-    pgw_call_cancel(&guard->report_call);
-    pgw_call_cancel(&guard->order_call);
-    pgw_call_cancel(&guard->events_call);
-    pgw_timer_stop(guard->loop, &guard->events_timer);
-    pgw_cached_parts_dispose(&guard->parts);
-    pgw_announced_prompts_dispose(&guard->announced);
-    pgw_quota_buckets_free(guard->quotas);
-    g_string_free(guard->events_body, TRUE);
-    if (!pgw_list_is_empty(&guard->entries)) {
-        pgw_list_foreach_safe (link, &guard->entries) {
+    pgw_call_cancel(&sidecar->report_call);
+    pgw_call_cancel(&sidecar->order_call);
+    pgw_call_cancel(&sidecar->events_call);
+    pgw_timer_stop(sidecar->loop, &sidecar->events_timer);
+    pgw_cached_parts_dispose(&sidecar->cached_parts);
+    pgw_announced_prompts_dispose(&sidecar->announced_prompts);
+    pgw_quota_buckets_free(sidecar->quotas);
+    g_string_free(sidecar->events_body, TRUE);
+    if (!pgw_list_is_empty(&sidecar->entries)) {
+        pgw_list_foreach_safe (link, &sidecar->entries) {
             pgw_link_close(
-                pgw_container_of(link, struct pgw_connected_entry, in_guard)
+                pgw_container_of(link, struct pgw_connected_entry, in_entries)
                     ->link);
         }
-        pgw_loop_run_tasks(guard->loop);
-    }
-    pgw_timer_stop(guard->loop, &guard->report_timer);
-    pgw_timer_stop(guard->loop, &guard->step_timer);
-    pgw_listener_free(guard->listener);
-    pgw_call_pool_free(guard->pool);
-    for (size_t i = 0; i < guard->model_count; i++) {
-        g_free(guard->models[i].model);
-        g_free(guard->models[i].instance);
-    }
-    pgw_engine_report_clear(&guard->report);
-    pgw_engine_report_clear(&guard->told);
-    g_string_free(guard->report_body, TRUE);
-    g_free(guard->instance);
-    g_free(guard->zone);
-    g_free(guard);
+        pgw_loop_run_tasks(sidecar->loop);
+    }
+    pgw_timer_stop(sidecar->loop, &sidecar->report_timer);
+    pgw_timer_stop(sidecar->loop, &sidecar->step_timer);
+    pgw_listener_free(sidecar->listener);
+    pgw_call_pool_free(sidecar->pool);
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        g_free(sidecar->models[i].model);
+        g_free(sidecar->models[i].instance);
+    }
+    pgw_engine_report_clear(&sidecar->report);
+    pgw_engine_report_clear(&sidecar->reported);
+    g_string_free(sidecar->report_body, TRUE);
+    g_free(sidecar->instance);
+    g_free(sidecar->zone);
+    g_free(sidecar);
 }
--- a/src/gateway/engine_sidecar.h
+++ b/src/gateway/engine_sidecar.h
@@ -10,27 +10,29 @@
 #include "gateway/weights_order.h"
 
 /**
- * DOC: The process beside a model engine
+ * DOC: The sidecar of a model engine
  *
- * It asks its engine for reports, which cost nothing from its own machine,
- * and tells the entries of its zone what changes. It is the only one that
- * gives the engine orders: entries say which weights are named and when it is
- * this engine's turn. Its fencing token comes from the platform's store, once
- * a lifetime and only when an order is due.
+ * The sidecar polls its engine for reports, which costs nothing from the
+ * engine's own machine, and reports changes to the entries. No other process
+ * sends orders to the engine: entries announce target versions and select the
+ * engine when it may load. The sidecar's fencing token comes from the
+ * platform's store. It is requested only when an order is due, and again only
+ * after the engine has seen a higher one.
  */
 
 /**
- * struct pgw_engine_report - an engine's own word
+ * struct pgw_engine_report - a report of an engine
  * @load: its load
- * @models: weights that it runs
+ * @models: models and versions that it runs; names are owned
  * @model_count: number of @models
- * @busy: it carries out an order
- * @sequence: orders that it accepted
+ * @busy: it is executing an order
+ * @sequence: number of orders that it has accepted
  * @started_ms: when its process started, by its own clock, in Unix
- *   milliseconds; 0: not said
- * @runs: requests that it runs; owned
+ *   milliseconds; 0: unknown
+ * @runs: running requests that it lists; owned
  * @run_count: number of @runs
- * @reading: requests that it runs and does not list, 0 where it lists none
+ * @unlisted_runs: running requests that it does not list, 0 where it lists
+ *   none at all
  */
 struct pgw_engine_report {
     struct pgw_upstream_load load;
@@ -45,13 +47,14 @@
 };
 
 /**
- * struct pgw_engine_order - weights that the engine is to load
+ * struct pgw_engine_order - order to load weights
  * @model: name of the model
- * @version: its number
- * @instance: incarnation that the order is for
- * @holder: name of this process
+ * @version: version to load
+ * @instance: incarnation of the engine that the order is for
+ * @holder: name of this process, the holder of the token
  * @token: fencing token
- * @sequence: orders that the engine must have accepted before
+ * @sequence: number of orders that the engine must have accepted before, or
+ *   it refuses this one
  */
 struct pgw_engine_order {
     const char *model;
@@ -63,15 +66,15 @@
 };
 
 /**
- * struct pgw_engine_codec - how the deployment's engines are spoken to
- * @write_report_request: append a whole request for a report
- * @read_report: decode its answer; false: it makes no sense. Names are owned
+ * struct pgw_engine_codec - HTTP messages of the deployment's engines
+ * @write_report_request: append a complete request for a report
+ * @read_report: decode the response; false: it is invalid. The names and runs
+ *   are owned by the caller
+ * @write_order_request: append a complete request with an order
+ * @write_events_request: append a complete long poll for cache events from
+ *   number @since on
+ * @read_events: decode the response; false: it is invalid. The array is owned
  *   by the caller
- * @write_order_request: append a whole order
- * @write_events_request: append a whole request for cache events that waits
- * for some
- * @read_events: decode its answer; false: it makes no sense. The array is
- *   owned by the caller
  */
 struct pgw_engine_codec {
     void (*write_report_request)(GString *out);
@@ -92,16 +95,17 @@
  * @instance: name of this process
  * @zone: its availability zone
  * @engine: address of the engine
- * @listen: where entries connect; without an address (size 0) none do, and
- *   cache events are not followed, as nobody would hear of them
- * @codec: how the engine is spoken to
+ * @listen: where entries connect; without an address (size 0) none can, and
+ *   cache events are not polled, as no entry would get them
+ * @codec: messages of the engine
  * @policy: mechanisms that are switched off
- * @get_token: ask for a new fencing token above all before; the answer comes
- *   through pgw_engine_sidecar_set_token()
- * @quotas: how buckets of workspaces start
- * @report_lag_us: how old the engine's reports may be, 0 on its own machine
- * @may_send_order: asked right before each order; NULL: always
- * @context: handed to @get_token and @may_send_order
+ * @get_token: request a new fencing token, higher than all previous ones; it
+ *   is delivered through pgw_engine_sidecar_set_token()
+ * @quotas: initial state of the workspaces' quota buckets
+ * @report_lag_us: maximum age of the engine's reports, 0 on its own machine
+ * @may_send_order: called right before each order; false delays it. NULL:
+ *   orders are always sent
+ * @context: argument of @get_token and @may_send_order
  */
 struct pgw_engine_sidecar_options {
     const char *instance;
@@ -117,28 +121,35 @@
     void *context;
 };
 
-/** pgw_engine_sidecar_new() - listen and begin; %PGW_ERROR_IO */
+/** pgw_engine_sidecar_new() - listen and start polling the engine; NULL and
+ * %PGW_ERROR_IO if it cannot listen */
 struct pgw_engine_sidecar *
 pgw_engine_sidecar_new(struct pgw_loop *loop,
                        const struct pgw_engine_sidecar_options *options,
                        GError **error);
-void pgw_engine_sidecar_free(struct pgw_engine_sidecar *guard);
+void pgw_engine_sidecar_free(struct pgw_engine_sidecar *sidecar);
 
-/** pgw_engine_sidecar_set_token() - a fencing token; 0: none can be had now
- */
-void pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *guard,
+/** pgw_engine_sidecar_set_token() - set the fencing token; 0: none is
+ * available now */
+void pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *sidecar,
                                   uint64_t token);
 
-/** pgw_engine_sidecar_port() - where entries connect */
-uint16_t pgw_engine_sidecar_port(const struct pgw_engine_sidecar *guard);
+/** pgw_engine_sidecar_port() - port that entries connect to */
+uint16_t pgw_engine_sidecar_port(const struct pgw_engine_sidecar *sidecar);
 
-/** pgw_engine_sidecar_entry_count() - entries that are connected */
+/** pgw_engine_sidecar_entry_count() - number of connected entries */
 unsigned
-pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *guard);
+pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *sidecar);
 
-/** pgw_engine_sidecar_set_target_weights() - weights that the engine is to
- * run, and in how many microseconds to begin at the latest */
-void pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *guard,
+/**
+ * pgw_engine_sidecar_set_target_weights() - set the version to load
+ * @sidecar: the sidecar
+ * @name: name of the model
+ * @version: version to load; older ones than the current target are ignored
+ * @start_in_us: delay until the load starts
+ * @instance: incarnation of the engine
+ */
+void pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *sidecar,
                                            const char *name, uint64_t version,
                                            uint64_t start_in_us,
                                            const char *instance);
--- a/src/gateway/engine_sidecar_internal.h
+++ b/src/gateway/engine_sidecar_internal.h
@@ -7,14 +7,21 @@
 #include "libparsleygw/link.h"
 
 /**
- * DOC: Inside of the process beside an engine
+ * DOC: Internals of an engine's sidecar
  *
- * guard_ask.c asks the engine for reports and cache events, guard_order.c
- * orders new weights, guard_tell.c tells the entries, engine_guard.c holds
- * them together. Nobody else includes this.
+ * engine_sidecar_poll.c polls the engine for reports and cache events,
+ * engine_sidecar_orders.c orders it to load weights, engine_sidecar_quota.c
+ * answers quota requests, engine_sidecar_reports.c sends reports to the
+ * entries, and engine_sidecar.c owns the state and the connections. No other
+ * file includes this header.
  */
 
-/** struct pgw_sidecar_model - the weights of one model */
+/**
+ * struct pgw_sidecar_model - the target weights of one model
+ * @model: its name
+ * @instance: incarnation of the engine that the target was set for
+ * @order: state of the order to load them
+ */
 struct pgw_sidecar_model {
     char *model;
     char *instance;
@@ -22,43 +29,56 @@
 };
 
 /**
- * struct pgw_connected_entry - one entry
- * @known: it has said who it is and been told everything
- * @far: it is in another zone: told less, and less often
- * @on_request: it is told nothing but answers to its probes
- * @started_us: when it started, as it said; 0: it did not
- * @stood_in_at_us: when it last asked for a quota that another sidecar owns,
+ * struct pgw_connected_entry - connection of one entry
+ * @has_full_state: it has got a full report, so that changes suffice
+ * @is_remote: it is in another zone and gets fewer and smaller reports
+ * @probe_only: it gets answers to its probes, and no other reports
+ * @started_us: when it started, in monotonic time, from the age in its hello;
+ *   0: unknown
+ * @last_stand_in_us: when it last asked for a quota that another sidecar owns,
  *   0: never
  */
 struct pgw_connected_entry {
-    struct pgw_list in_guard;
-    struct pgw_engine_sidecar *guard;
+    struct pgw_list in_entries;
+    struct pgw_engine_sidecar *sidecar;
     struct pgw_link *link;
-    bool known;
-    bool far;
-    bool on_request;
+    bool has_full_state;
+    bool is_remote;
+    bool probe_only;
     uint64_t started_us;
-    uint64_t stood_in_at_us;
+    uint64_t last_stand_in_us;
 };
 
 /**
  * struct pgw_announced_arrivals - requests that entries have announced
  * @requests: their number
- * @memory: tokens of memory that they take at most
+ * @kv_tokens: tokens of KV cache that they use at most
  */
 struct pgw_announced_arrivals {
     uint32_t requests;
-    uint64_t memory;
+    uint64_t kv_tokens;
 };
 
 /**
- * struct pgw_engine_sidecar - the process beside one engine
- * @quotas: buckets of workspaces that this sidecar owns
- * @announced: long prompts that may not have been read yet
- * @arrivals: announced since the last report was asked for, so that it may
- *   lack them
- * @arrivals_before: announced before that, after the report before: lacking
- *   in what is known until the answer is there
+ * struct pgw_engine_sidecar - the sidecar of one engine
+ * @engine: address of the engine
+ * @cached_parts: parts in the engine's KV cache
+ * @report: the engine's last report
+ * @quotas: quota buckets of the workspaces that this sidecar owns
+ * @announced_prompts: long prompts that may not be prefilled yet
+ * @arrivals_since_poll: requests announced since the last poll started; its
+ *   answer may not include them
+ * @arrivals_before_poll: requests announced between the last two polls;
+ *   @report does not include them until the answer arrives
+ * @budget: bytes that reports may use
+ * @reported: the state in the last report to the entries
+ * @reported_us: when it was sent
+ * @reported_remote_us: when the last one to entries of other zones was sent
+ * @reported_alive: @alive in the last report to the entries
+ * @reported_loading: whether that report said that the engine is loading
+ * @ordered_model: the model whose order is in flight, NULL: none
+ * @failed_polls: failed polls in a row
+ * @alive: the engine answers polls
  */
 struct pgw_engine_sidecar {
     struct pgw_loop *loop;
@@ -78,84 +98,90 @@
     GString *report_body;
     GString *events_body;
     unsigned events_status;
-    struct pgw_cached_parts parts;
+    struct pgw_cached_parts cached_parts;
     unsigned report_status;
     unsigned order_status;
     struct pgw_engine_report report;
     struct pgw_quota_buckets *quotas;
-    struct pgw_announced_prompts announced;
-    struct pgw_announced_arrivals arrivals;
-    struct pgw_announced_arrivals arrivals_before;
+    struct pgw_announced_prompts announced_prompts;
+    struct pgw_announced_arrivals arrivals_since_poll;
+    struct pgw_announced_arrivals arrivals_before_poll;
     struct pgw_report_budget budget;
-    struct pgw_engine_report told;
-    uint64_t told_us;
-    uint64_t told_far_us;
+    struct pgw_engine_report reported;
+    uint64_t reported_us;
+    uint64_t reported_remote_us;
     struct pgw_sidecar_model models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
-    struct pgw_sidecar_model *ordering;
-    unsigned failures;
+    struct pgw_sidecar_model *ordered_model;
+    unsigned failed_polls;
     bool alive;
-    bool told_alive;
-    bool told_loading;
+    bool reported_alive;
+    bool reported_loading;
 };
 
-/* guard_ask.c */
-/** pgw_engine_sidecar_poll_now() - ask the engine now */
-void pgw_engine_sidecar_poll_now(struct pgw_engine_sidecar *guard);
-/** pgw_engine_sidecar_report_due() - for the timer of reports */
-void pgw_engine_sidecar_report_due(struct pgw_timer *timer);
-/** pgw_engine_sidecar_events_due() - for the timer of cache events */
-void pgw_engine_sidecar_events_due(struct pgw_timer *timer);
-/** pgw_engine_report_version() - weights of a model in a report, 0: not there
+/* engine_sidecar_poll.c */
+/** pgw_engine_sidecar_poll_now() - poll the engine now, as its state may have
+ * changed; does nothing while a poll is running */
+void pgw_engine_sidecar_poll_now(struct pgw_engine_sidecar *sidecar);
+/** pgw_engine_sidecar_on_report_timer() - start a poll for a report */
+void pgw_engine_sidecar_on_report_timer(struct pgw_timer *timer);
+/** pgw_engine_sidecar_on_events_timer() - start a long poll for cache events
  */
+void pgw_engine_sidecar_on_events_timer(struct pgw_timer *timer);
+/** pgw_engine_report_version() - version of a model in a report, 0: the engine
+ * does not run the model */
 uint64_t pgw_engine_report_version(const struct pgw_engine_report *report,
                                    const char *model);
-/** pgw_engine_sidecar_register_poll_metrics() - counters of this part */
+/** pgw_engine_sidecar_register_poll_metrics() - register the counters of polls
+ */
 void pgw_engine_sidecar_register_poll_metrics(void);
 
-/* guard_order.c */
-/** pgw_engine_sidecar_step_orders() - do what the weights need next */
-void pgw_engine_sidecar_step_orders(struct pgw_engine_sidecar *guard);
-/** pgw_engine_sidecar_step_due() - for the timer of steps */
-void pgw_engine_sidecar_step_due(struct pgw_timer *timer);
-/** pgw_engine_sidecar_register_order_metrics() - counters of this part */
+/* engine_sidecar_orders.c */
+/** pgw_engine_sidecar_step_orders() - run the due steps of all orders */
+void pgw_engine_sidecar_step_orders(struct pgw_engine_sidecar *sidecar);
+/** pgw_engine_sidecar_on_step_timer() - run the due steps of all orders */
+void pgw_engine_sidecar_on_step_timer(struct pgw_timer *timer);
+/** pgw_engine_sidecar_register_order_metrics() - register the counters of
+ * orders */
 void pgw_engine_sidecar_register_order_metrics(void);
 
-/* guard_quota.c */
-/** pgw_engine_sidecar_take_quota_ask() - answer an entry on a workspace's
- * quota */
-void pgw_engine_sidecar_take_quota_ask(struct pgw_connected_entry *peer,
-                                       const Pgw__QuotaAsk *ask);
-/** pgw_engine_sidecar_register_quota_metrics() - counters of this part */
+/* engine_sidecar_quota.c */
+/** pgw_engine_sidecar_handle_quota_ask() - answer an entry's request for a
+ * workspace's quota */
+void pgw_engine_sidecar_handle_quota_ask(struct pgw_connected_entry *entry,
+                                         const Pgw__QuotaAsk *ask);
+/** pgw_engine_sidecar_register_quota_metrics() - register the counters of
+ * quotas */
 void pgw_engine_sidecar_register_quota_metrics(void);
 
-/* guard_tell.c */
-/** pgw_engine_sidecar_send_full_state() - everything that is known, to one
- * entry that is new
- */
-void pgw_engine_sidecar_send_full_state(const struct pgw_engine_sidecar *guard,
-                                        struct pgw_connected_entry *peer);
-/** pgw_engine_sidecar_answer_probe() - the engine's load and which of the
- * parts it holds, to one entry */
-void pgw_engine_sidecar_answer_probe(const struct pgw_engine_sidecar *guard,
-                                     struct pgw_connected_entry *peer,
+/* engine_sidecar_reports.c */
+/** pgw_engine_sidecar_send_full_state() - send a full report to an entry that
+ * has just connected */
+void
+pgw_engine_sidecar_send_full_state(const struct pgw_engine_sidecar *sidecar,
+                                   struct pgw_connected_entry *entry);
+/** pgw_engine_sidecar_answer_probe() - send the engine's load, and which of
+ * the probed parts it has cached, to one entry */
+void pgw_engine_sidecar_answer_probe(const struct pgw_engine_sidecar *sidecar,
+                                     struct pgw_connected_entry *entry,
                                      const Pgw__EngineProbe *probe);
-/** pgw_engine_sidecar_report_to_all() - to all entries; those far away when it
- * is urgent or their time has come */
-void pgw_engine_sidecar_report_to_all(struct pgw_engine_sidecar *guard,
-                                      bool urgent);
-/** pgw_engine_sidecar_is_loading() - the engine takes no requests for its
- * weights */
-bool pgw_engine_sidecar_is_loading(const struct pgw_engine_sidecar *guard);
-/** pgw_engine_sidecar_has_urgent_change() - entries must hear of a change at
- * once */
+/** pgw_engine_sidecar_report_to_entries() - report to the entries of the local
+ * zone, and to those of other zones if it is @urgent or their next report is
+ * due */
+void pgw_engine_sidecar_report_to_entries(struct pgw_engine_sidecar *sidecar,
+                                          bool urgent);
+/** pgw_engine_sidecar_is_loading() - the engine takes no requests because it
+ * loads weights or is about to */
+bool pgw_engine_sidecar_is_loading(const struct pgw_engine_sidecar *sidecar);
+/** pgw_engine_sidecar_has_urgent_change() - a change must be reported at
+ * once, whatever the budget */
 bool
-pgw_engine_sidecar_has_urgent_change(const struct pgw_engine_sidecar *guard);
-/** pgw_engine_sidecar_has_reportable_change() - enough has changed to tell
- * them, and there are bytes left for it */
+pgw_engine_sidecar_has_urgent_change(const struct pgw_engine_sidecar *sidecar);
+/** pgw_engine_sidecar_has_reportable_change() - enough has changed for a
+ * report, and the budget allows one */
 bool
-pgw_engine_sidecar_has_reportable_change(struct pgw_engine_sidecar *guard);
-/** pgw_engine_report_clear() - give back what a report owns */
+pgw_engine_sidecar_has_reportable_change(struct pgw_engine_sidecar *sidecar);
+/** pgw_engine_report_clear() - free what a report owns, and empty it */
 void pgw_engine_report_clear(struct pgw_engine_report *report);
 
 #endif
--- a/src/gateway/engine_sidecar_orders.c
+++ b/src/gateway/engine_sidecar_orders.c
@@ -3,19 +3,20 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* An order that got no answer for so long is settled by the reports. */
+/* An order without an answer after this time is lost: the engine's reports
+ * show whether it was accepted. */
 #define ORDER_TIMEOUT_US 400000
-/* An order that has to wait for another one or for the engine is looked at
- * again after this time, which is that between two reports meanwhile. */
-#define STEP_AGAIN_US 40000
+/* Delay before an order that cannot be sent yet is checked again: equals the
+ * interval of reports during a load. */
+#define STEP_RETRY_US 40000
 
 static struct pgw_metric_counter orders_given = {
     .name = "pgw_engine_orders_total",
-    .help = "Orders given to the engine",
+    .help = "Orders sent to the engine",
 };
 
 static enum pgw_order_answer
-answer_of(unsigned status)
+answer_from_status(unsigned status)
 {
     switch (status) {
     case 200:
@@ -33,7 +34,7 @@
 }
 
 static struct pgw_engine_sidecar *
-of_order(struct pgw_call *call)
+order_call_sidecar(struct pgw_call *call)
 {
     return pgw_container_of(call, struct pgw_engine_sidecar, order_call);
 }
@@ -48,28 +49,29 @@
 };
 
 static void
-order_settled(struct pgw_engine_sidecar *guard, enum pgw_order_answer answer)
+handle_order_answer(struct pgw_engine_sidecar *sidecar,
+                    enum pgw_order_answer answer)
 {
-    struct pgw_sidecar_model *model = guard->ordering;
+    struct pgw_sidecar_model *model = sidecar->ordered_model;
 
-    guard->ordering = NULL;
+    sidecar->ordered_model = NULL;
     if (model != NULL) {
         pgw_log_info("order_answer",
                      "engine=%s model=%s version=%" G_GUINT64_FORMAT
                      " status=%u answer=%s token=%" G_GUINT64_FORMAT,
-                     guard->engine, model->model, model->order.target_version,
-                     guard->order_status, answer_names[answer],
-                     model->order.token);
+                     sidecar->engine, model->model,
+                     model->order.target_version, sidecar->order_status,
+                     answer_names[answer], model->order.token);
         pgw_weights_order_handle_answer(&model->order, answer, pgw_now_us());
     }
-    pgw_engine_sidecar_poll_now(guard);
-    pgw_engine_sidecar_step_orders(guard);
+    pgw_engine_sidecar_poll_now(sidecar);
+    pgw_engine_sidecar_step_orders(sidecar);
 }
 
 static bool
 order_head(struct pgw_call *call, const struct pgw_http_head *head)
 {
-    of_order(call)->order_status = head->status;
+    order_call_sidecar(call)->order_status = head->status;
     return true;
 }
 
@@ -84,21 +86,22 @@
 static void
 order_done(struct pgw_call *call)
 {
-    struct pgw_engine_sidecar *guard = of_order(call);
+    struct pgw_engine_sidecar *sidecar = order_call_sidecar(call);
 
-    order_settled(guard, answer_of(guard->order_status));
+    handle_order_answer(sidecar, answer_from_status(sidecar->order_status));
 }
 
 static void
 order_lost(struct pgw_call *call, enum pgw_call_failure why)
 {
-    struct pgw_engine_sidecar *guard = of_order(call);
+    struct pgw_engine_sidecar *sidecar = order_call_sidecar(call);
 
-    guard->order_status = 0;
-    /* What was never sent is refused, not lost. */
-    order_settled(guard, why == PGW_CALL_NO_CONNECTION && !call->sent
-                             ? PGW_ORDER_REFUSED
-                             : PGW_ORDER_LOST);
+    sidecar->order_status = 0;
+    /* An order that was never sent cannot be carried out, so it is not lost.
+     */
+    handle_order_answer(sidecar, why == PGW_CALL_NO_CONNECTION && !call->sent
+                                     ? PGW_ORDER_REFUSED
+                                     : PGW_ORDER_LOST);
 }
 
 static const struct pgw_call_ops order_ops = {
@@ -109,39 +112,39 @@
 };
 
 static void
-give_order(struct pgw_engine_sidecar *guard, struct pgw_sidecar_model *model)
+send_order(struct pgw_engine_sidecar *sidecar, struct pgw_sidecar_model *model)
 {
     struct pgw_engine_order order = {
         .model = model->model,
         .version = model->order.target_version,
         .instance = model->instance,
-        .holder = guard->instance,
+        .holder = sidecar->instance,
         .token = model->order.token,
-        .sequence = guard->report.sequence,
+        .sequence = sidecar->report.sequence,
     };
     struct pgw_call_options options = {
-        .address = &guard->options.engine,
+        .address = &sidecar->options.engine,
         .timeout_us = ORDER_TIMEOUT_US,
         .fresh = true,
     };
     GString *bytes = g_string_new(NULL);
 
-    guard->options.codec->write_order_request(bytes, &order);
+    sidecar->options.codec->write_order_request(bytes, &order);
     options.bytes = bytes->str;
     options.size = bytes->len;
-    guard->order_call.ops = &order_ops;
-    guard->ordering = model;
+    sidecar->order_call.ops = &order_ops;
+    sidecar->ordered_model = model;
     pgw_metric_counter_add(&orders_given, 1);
     pgw_log_info("order",
                  "engine=%s upstream=%s model=%s version=%" G_GUINT64_FORMAT
                  " token=%" G_GUINT64_FORMAT " sequence=%" G_GUINT64_FORMAT
                  " queued=%u running=%u kv_used=%" G_GUINT64_FORMAT,
-                 guard->engine, order.instance, order.model, order.version,
+                 sidecar->engine, order.instance, order.model, order.version,
                  order.token, order.sequence, model->order.queued_requests,
-                 guard->report.load.running, guard->report.load.kv_used);
+                 sidecar->report.load.running, sidecar->report.load.kv_used);
     pgw_weights_order_mark_sent(&model->order, pgw_now_us());
-    if (!pgw_call_start(&guard->order_call, guard->pool, &options)) {
-        guard->ordering = NULL;
+    if (!pgw_call_start(&sidecar->order_call, sidecar->pool, &options)) {
+        sidecar->ordered_model = NULL;
         pgw_weights_order_handle_answer(&model->order, PGW_ORDER_REFUSED,
                                         pgw_now_us());
     }
@@ -149,95 +152,95 @@
 }
 
 static bool
-may_send_order(const struct pgw_engine_sidecar *guard)
+may_send_order(const struct pgw_engine_sidecar *sidecar)
 {
-    return guard->options.may_send_order == NULL ||
-           guard->options.may_send_order(guard->options.context);
+    return sidecar->options.may_send_order == NULL ||
+           sidecar->options.may_send_order(sidecar->options.context);
 }
 
-/* Returns when to look again, 0: on news only. */
+/* Returns when the next step is due, 0: after the next event. */
 static uint64_t
-step_model(struct pgw_engine_sidecar *guard, struct pgw_sidecar_model *model)
+step_model(struct pgw_engine_sidecar *sidecar, struct pgw_sidecar_model *model)
 {
     for (;;) {
         switch (pgw_weights_order_next_step(&model->order, pgw_now_us())) {
         case PGW_WEIGHTS_WAIT:
             return model->order.next_step_us;
         case PGW_WEIGHTS_REQUEST_TOKEN:
-            guard->options.get_token(guard->options.context);
+            sidecar->options.get_token(sidecar->options.context);
             break;
         case PGW_WEIGHTS_ANNOUNCE_LOADING:
         case PGW_WEIGHTS_ANNOUNCE_AVAILABLE:
-            pgw_engine_sidecar_report_to_all(guard, true);
+            pgw_engine_sidecar_report_to_entries(sidecar, true);
             break;
         case PGW_WEIGHTS_SEND_ORDER:
-            /* One order at a time; nothing is known of an engine that does
-             * not answer, so no order is made for it either. */
-            if (guard->ordering != NULL || !guard->alive ||
-                !may_send_order(guard)) {
-                return pgw_now_us() + STEP_AGAIN_US;
+            /* One order at a time, and none without a current report of the
+             * engine, as an order carries values from it. */
+            if (sidecar->ordered_model != NULL || !sidecar->alive ||
+                !may_send_order(sidecar)) {
+                return pgw_now_us() + STEP_RETRY_US;
             }
-            give_order(guard, model);
+            send_order(sidecar, model);
             break;
         }
     }
 }
 
 void
-pgw_engine_sidecar_step_orders(struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_step_orders(struct pgw_engine_sidecar *sidecar)
 {
     uint64_t now = pgw_now_us();
     uint64_t next = 0;
 
-    for (size_t i = 0; i < guard->model_count; i++) {
-        uint64_t at = step_model(guard, &guard->models[i]);
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        uint64_t at = step_model(sidecar, &sidecar->models[i]);
 
         if (at > 0 && (next == 0 || at < next)) {
             next = at;
         }
     }
     if (next > 0) {
-        pgw_timer_start(guard->loop, &guard->step_timer,
+        pgw_timer_start(sidecar->loop, &sidecar->step_timer,
                         next > now ? next - now : 0);
     }
 }
 
 void
-pgw_engine_sidecar_step_due(struct pgw_timer *timer)
+pgw_engine_sidecar_on_step_timer(struct pgw_timer *timer)
 {
     pgw_engine_sidecar_step_orders(
         pgw_container_of(timer, struct pgw_engine_sidecar, step_timer));
 }
 
 static struct pgw_sidecar_model *
-model_get(struct pgw_engine_sidecar *guard, const char *name)
+find_or_add_model(struct pgw_engine_sidecar *sidecar, const char *name)
 {
     struct pgw_weights_order_options options = PGW_WEIGHTS_ORDER_OPTIONS_INIT;
     struct pgw_sidecar_model *model;
 
-    for (size_t i = 0; i < guard->model_count; i++) {
-        if (strcmp(guard->models[i].model, name) == 0) {
-            return &guard->models[i];
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        if (strcmp(sidecar->models[i].model, name) == 0) {
+            return &sidecar->models[i];
         }
     }
-    if (guard->model_count == PGW_UPSTREAM_MODELS_MAX) {
+    if (sidecar->model_count == PGW_UPSTREAM_MODELS_MAX) {
         pgw_log_warning("too_many_models", "model=%s", name);
         return NULL;
     }
-    model = &guard->models[guard->model_count++];
+    model = &sidecar->models[sidecar->model_count++];
     model->model = g_strdup(name);
-    options.report_lag_us = guard->options.report_lag_us;
-    if (!pgw_policy_is_on(&guard->options.policy, PGW_LOAD_DRAIN)) {
+    options.report_lag_us = sidecar->options.report_lag_us;
+    if (!pgw_policy_is_on(&sidecar->options.policy, PGW_LOAD_DRAIN)) {
         options.drain_timeout_us = 0;
     }
     pgw_weights_order_init(&model->order, &options);
     model->order.running_version =
-        pgw_engine_report_version(&guard->report, name);
+        pgw_engine_report_version(&sidecar->report, name);
     return model;
 }
 
 static void
-log_wanted(const struct pgw_engine_sidecar *guard,
+log_target(const struct pgw_engine_sidecar *sidecar,
            const struct pgw_sidecar_model *model)
 {
     uint64_t now = pgw_now_us();
@@ -246,18 +249,18 @@
     pgw_log_info("weights_wanted",
                  "engine=%s model=%s version=%" G_GUINT64_FORMAT
                  " running=%" G_GUINT64_FORMAT " due_ms=%" G_GUINT64_FORMAT,
-                 guard->engine, model->model, model->order.target_version,
+                 sidecar->engine, model->model, model->order.target_version,
                  model->order.running_version,
                  due > now ? (due - now) / 1000 : 0);
 }
 
 void
-pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *guard,
+pgw_engine_sidecar_set_target_weights(struct pgw_engine_sidecar *sidecar,
                                       const char *name, uint64_t version,
                                       uint64_t start_in_us,
                                       const char *instance)
 {
-    struct pgw_sidecar_model *model = model_get(guard, name);
+    struct pgw_sidecar_model *model = find_or_add_model(sidecar, name);
     bool is_new;
 
     if (model == NULL) {
@@ -271,19 +274,20 @@
     pgw_weights_order_set_target(&model->order, version, start_in_us,
                                  pgw_now_us());
     if (is_new) {
-        log_wanted(guard, model);
+        log_target(sidecar, model);
     }
-    pgw_engine_sidecar_step_orders(guard);
+    pgw_engine_sidecar_step_orders(sidecar);
 }
 
 void
-pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *guard, uint64_t token)
+pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *sidecar,
+                             uint64_t token)
 {
-    for (size_t i = 0; i < guard->model_count; i++) {
-        pgw_weights_order_set_token(&guard->models[i].order, token,
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        pgw_weights_order_set_token(&sidecar->models[i].order, token,
                                     pgw_now_us());
     }
-    pgw_engine_sidecar_step_orders(guard);
+    pgw_engine_sidecar_step_orders(sidecar);
 }
 
 void
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -3,44 +3,47 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* Reports are asked for this often; while an order is on its way more often,
- * since requests wait for its end. */
-#define REPORT_US 100000
-#define REPORT_LOADING_US 40000
+/* Interval of polls for reports; shorter while the engine loads, as requests
+ * wait for the end of the load. */
+#define REPORT_INTERVAL_US 100000
+#define REPORT_INTERVAL_LOADING_US 40000
 #define REPORT_TIMEOUT_US 400000
-/* Cache events are waited for so long; shorter waits count as probes. */
-#define EVENTS_WAIT_MS 800
+/* How long the engine may hold a long poll for cache events; shorter
+ * ones count as probes. */
+#define EVENTS_LONG_POLL_MS 800
 #define EVENTS_TIMEOUT_US 2000000
-/* After an answer with events: what follows at once is told together. */
-#define EVENTS_PAUSE_US 30000
-#define EVENTS_AGAIN_US 300000
-/* Failed reports in a row before the engine counts as gone. */
-#define DEAD_AFTER 2
+/* Delay before the next poll after a response with events, so that events in
+ * quick succession are reported together. */
+#define EVENTS_BATCH_DELAY_US 30000
+#define EVENTS_RETRY_US 300000
+/* Failed polls in a row after which the engine counts as unreachable. */
+#define FAILED_POLLS_MAX 2
 
 static struct pgw_metric_counter reports_failed = {
     .name = "pgw_engine_reports_failed_total",
-    .help = "Reports that the engine did not give",
+    .help = "Polls for an engine report that failed",
 };
 
 static void
-start_report_timer(struct pgw_engine_sidecar *guard)
+start_report_timer(struct pgw_engine_sidecar *sidecar)
 {
-    pgw_timer_start(guard->loop, &guard->report_timer,
-                    pgw_engine_sidecar_is_loading(guard) ? REPORT_LOADING_US
-                                                         : REPORT_US);
+    pgw_timer_start(sidecar->loop, &sidecar->report_timer,
+                    pgw_engine_sidecar_is_loading(sidecar)
+                        ? REPORT_INTERVAL_LOADING_US
+                        : REPORT_INTERVAL_US);
 }
 
 static void
-report_failed(struct pgw_engine_sidecar *guard)
+handle_failed_poll(struct pgw_engine_sidecar *sidecar)
 {
     pgw_metric_counter_add(&reports_failed, 1);
-    guard->failures++;
-    if (guard->failures == DEAD_AFTER) {
-        guard->alive = false;
-        pgw_log_warning("engine_lost", "engine=%s", guard->engine);
-        pgw_engine_sidecar_report_to_all(guard, true);
+    sidecar->failed_polls++;
+    if (sidecar->failed_polls == FAILED_POLLS_MAX) {
+        sidecar->alive = false;
+        pgw_log_warning("engine_lost", "engine=%s", sidecar->engine);
+        pgw_engine_sidecar_report_to_entries(sidecar, true);
     }
-    start_report_timer(guard);
+    start_report_timer(sidecar);
 }
 
 uint64_t
@@ -56,83 +59,84 @@
 }
 
 static void
-take_report(struct pgw_engine_sidecar *guard)
+handle_report(struct pgw_engine_sidecar *sidecar)
 {
     uint64_t now = pgw_now_us();
 
-    if (!guard->alive) {
-        pgw_log_info("engine_found", "engine=%s", guard->engine);
+    if (!sidecar->alive) {
+        pgw_log_info("engine_found", "engine=%s", sidecar->engine);
     }
-    guard->alive = true;
-    guard->failures = 0;
-    guard->arrivals_before = (struct pgw_announced_arrivals){0};
-    pgw_announced_prompts_report(&guard->announced,
+    sidecar->alive = true;
+    sidecar->failed_polls = 0;
+    sidecar->arrivals_before_poll = (struct pgw_announced_arrivals){0};
+    pgw_announced_prompts_report(&sidecar->announced_prompts,
                                  &(struct pgw_engine_work){
-                                     .runs = guard->report.runs,
-                                     .run_count = guard->report.run_count,
-                                     .reading = guard->report.unlisted_runs,
-                                     .waiting = guard->report.load.waiting,
+                                     .runs = sidecar->report.runs,
+                                     .run_count = sidecar->report.run_count,
+                                     .reading = sidecar->report.unlisted_runs,
+                                     .waiting = sidecar->report.load.waiting,
                                  },
                                  now);
-    for (size_t i = 0; i < guard->model_count; i++) {
-        struct pgw_sidecar_model *model = &guard->models[i];
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        struct pgw_sidecar_model *model = &sidecar->models[i];
         uint64_t version =
-            pgw_engine_report_version(&guard->report, model->model);
+            pgw_engine_report_version(&sidecar->report, model->model);
 
         if (version != model->order.running_version) {
             pgw_log_info("weights_running",
                          "engine=%s model=%s version=%" G_GUINT64_FORMAT
                          " before=%" G_GUINT64_FORMAT,
-                         guard->engine, model->model, version,
+                         sidecar->engine, model->model, version,
                          model->order.running_version);
         }
         pgw_weights_order_apply_report(&model->order, version,
-                                       guard->report.busy,
-                                       guard->report.load.waiting, now);
+                                       sidecar->report.busy,
+                                       sidecar->report.load.waiting, now);
     }
-    pgw_engine_sidecar_step_orders(guard);
-    if (pgw_engine_sidecar_has_urgent_change(guard)) {
-        pgw_engine_sidecar_report_to_all(guard, true);
+    pgw_engine_sidecar_step_orders(sidecar);
+    if (pgw_engine_sidecar_has_urgent_change(sidecar)) {
+        pgw_engine_sidecar_report_to_entries(sidecar, true);
     }
-    else if (pgw_engine_sidecar_has_reportable_change(guard)) {
-        pgw_engine_sidecar_report_to_all(guard, false);
+    else if (pgw_engine_sidecar_has_reportable_change(sidecar)) {
+        pgw_engine_sidecar_report_to_entries(sidecar, false);
     }
-    start_report_timer(guard);
+    start_report_timer(sidecar);
 }
 
 /*
- * Failure: the engine crashes and starts again under its id between two
- * reports. Symptom: an order that the former process was given counts as under
- * way, parts that it held are told as held. What is known of the former
- * process ends with the first report of the new one; an answer to the question
- * for cache events that is still under way would be the former's.
+ * Failure: the engine crashes and restarts under its id between two reports.
+ * Symptom: an order that the previous process got counts as in flight, and
+ * parts that it had cached are still reported as cached. The state of the
+ * previous process is discarded with the first report of the new one. A long
+ * poll for cache events that is still running is cancelled, as its response
+ * would be the previous process's.
  */
 static void
-note_start(struct pgw_engine_sidecar *guard, uint64_t started_ms)
+detect_restart(struct pgw_engine_sidecar *sidecar, uint64_t started_ms)
 {
-    if (guard->report.started_ms == 0 || started_ms == 0 ||
-        guard->report.started_ms == started_ms) {
+    if (sidecar->report.started_ms == 0 || started_ms == 0 ||
+        sidecar->report.started_ms == started_ms) {
         return;
     }
 #ifndef PGW_DISABLE_GUARD_STARTS
     pgw_log_warning("engine_restarted",
                     "engine=%s started_ms=%" G_GUINT64_FORMAT
                     " before_ms=%" G_GUINT64_FORMAT,
-                    guard->engine, started_ms, guard->report.started_ms);
-    for (size_t i = 0; i < guard->model_count; i++) {
-        pgw_weights_order_handle_restart(&guard->models[i].order);
+                    sidecar->engine, started_ms, sidecar->report.started_ms);
+    for (size_t i = 0; i < sidecar->model_count; i++) {
+        pgw_weights_order_handle_restart(&sidecar->models[i].order);
     }
-    pgw_cached_parts_clear(&guard->parts);
-    pgw_announced_prompts_clear(&guard->announced);
-    if (pgw_call_is_running(&guard->events_call)) {
-        pgw_call_cancel(&guard->events_call);
-        pgw_timer_start(guard->loop, &guard->events_timer, 0);
+    pgw_cached_parts_clear(&sidecar->cached_parts);
+    pgw_announced_prompts_clear(&sidecar->announced_prompts);
+    if (pgw_call_is_running(&sidecar->events_call)) {
+        pgw_call_cancel(&sidecar->events_call);
+        pgw_timer_start(sidecar->loop, &sidecar->events_timer, 0);
     }
 #endif
 }
 
 static struct pgw_engine_sidecar *
-of_report(struct pgw_call *call)
+report_call_sidecar(struct pgw_call *call)
 {
     return pgw_container_of(call, struct pgw_engine_sidecar, report_call);
 }
@@ -140,42 +144,43 @@
 static bool
 report_head(struct pgw_call *call, const struct pgw_http_head *head)
 {
-    struct pgw_engine_sidecar *guard = of_report(call);
+    struct pgw_engine_sidecar *sidecar = report_call_sidecar(call);
 
-    guard->report_status = head->status;
-    g_string_truncate(guard->report_body, 0);
+    sidecar->report_status = head->status;
+    g_string_truncate(sidecar->report_body, 0);
     return true;
 }
 
 static void
 report_body(struct pgw_call *call, const char *data, size_t size)
 {
-    g_string_append_len(of_report(call)->report_body, data, (gssize)size);
+    g_string_append_len(report_call_sidecar(call)->report_body, data,
+                        (gssize)size);
 }
 
 static void
 report_done(struct pgw_call *call)
 {
-    struct pgw_engine_sidecar *guard = of_report(call);
+    struct pgw_engine_sidecar *sidecar = report_call_sidecar(call);
     struct pgw_engine_report report = {0};
 
-    if (guard->report_status != 200 ||
-        !guard->options.codec->read_report(&report, guard->report_body->str,
-                                           guard->report_body->len)) {
-        report_failed(guard);
+    if (sidecar->report_status != 200 ||
+        !sidecar->options.codec->read_report(
+            &report, sidecar->report_body->str, sidecar->report_body->len)) {
+        handle_failed_poll(sidecar);
         return;
     }
-    note_start(guard, report.started_ms);
-    pgw_engine_report_clear(&guard->report);
-    guard->report = report;
-    take_report(guard);
+    detect_restart(sidecar, report.started_ms);
+    pgw_engine_report_clear(&sidecar->report);
+    sidecar->report = report;
+    handle_report(sidecar);
 }
 
 static void
 report_lost(struct pgw_call *call, enum pgw_call_failure why)
 {
     (void)why;
-    report_failed(of_report(call));
+    handle_failed_poll(report_call_sidecar(call));
 }
 
 static const struct pgw_call_ops report_ops = {
@@ -186,39 +191,38 @@
 };
 
 void
-pgw_engine_sidecar_report_due(struct pgw_timer *timer)
+pgw_engine_sidecar_on_report_timer(struct pgw_timer *timer)
 {
-    struct pgw_engine_sidecar *guard =
+    struct pgw_engine_sidecar *sidecar =
         pgw_container_of(timer, struct pgw_engine_sidecar, report_timer);
     GString *bytes = g_string_new(NULL);
     struct pgw_call_options options = {
-        .address = &guard->options.engine,
+        .address = &sidecar->options.engine,
         .timeout_us = REPORT_TIMEOUT_US,
     };
 
-    guard->arrivals_before = guard->arrivals;
-    guard->arrivals = (struct pgw_announced_arrivals){0};
-    guard->options.codec->write_report_request(bytes);
+    sidecar->arrivals_before_poll = sidecar->arrivals_since_poll;
+    sidecar->arrivals_since_poll = (struct pgw_announced_arrivals){0};
+    sidecar->options.codec->write_report_request(bytes);
     options.bytes = bytes->str;
     options.size = bytes->len;
-    guard->report_call.ops = &report_ops;
-    if (!pgw_call_start(&guard->report_call, guard->pool, &options)) {
-        report_failed(guard);
+    sidecar->report_call.ops = &report_ops;
+    if (!pgw_call_start(&sidecar->report_call, sidecar->pool, &options)) {
+        handle_failed_poll(sidecar);
     }
     g_string_free(bytes, TRUE);
 }
 
-/* A report at once: something is about to have changed. */
 void
-pgw_engine_sidecar_poll_now(struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_poll_now(struct pgw_engine_sidecar *sidecar)
 {
-    if (!pgw_call_is_running(&guard->report_call)) {
-        pgw_timer_start(guard->loop, &guard->report_timer, 0);
+    if (!pgw_call_is_running(&sidecar->report_call)) {
+        pgw_timer_start(sidecar->loop, &sidecar->report_timer, 0);
     }
 }
 
 static struct pgw_engine_sidecar *
-of_events(struct pgw_call *call)
+events_call_sidecar(struct pgw_call *call)
 {
     return pgw_container_of(call, struct pgw_engine_sidecar, events_call);
 }
@@ -226,61 +230,66 @@
 static bool
 events_head(struct pgw_call *call, const struct pgw_http_head *head)
 {
-    struct pgw_engine_sidecar *guard = of_events(call);
+    struct pgw_engine_sidecar *sidecar = events_call_sidecar(call);
 
-    guard->events_status = head->status;
-    g_string_truncate(guard->events_body, 0);
+    sidecar->events_status = head->status;
+    g_string_truncate(sidecar->events_body, 0);
     return true;
 }
 
 static void
 events_body(struct pgw_call *call, const char *data, size_t size)
 {
-    g_string_append_len(of_events(call)->events_body, data, (gssize)size);
+    g_string_append_len(events_call_sidecar(call)->events_body, data,
+                        (gssize)size);
 }
 
-/* The reports have not told of its start yet, or no longer tell of it. */
+/* Events may come from a process that started after the last report, or from
+ * the one before it. */
 static bool
-is_of_other_process(const struct pgw_engine_sidecar *guard,
-                    const struct pgw_cache_events *events)
+is_from_other_process(const struct pgw_engine_sidecar *sidecar,
+                      const struct pgw_cache_events *events)
 {
-    return events->started_ms != 0 && guard->report.started_ms != 0 &&
-           events->started_ms != guard->report.started_ms;
+    return events->started_ms != 0 && sidecar->report.started_ms != 0 &&
+           events->started_ms != sidecar->report.started_ms;
 }
 
 static void
 events_done(struct pgw_call *call)
 {
-    struct pgw_engine_sidecar *guard = of_events(call);
+    struct pgw_engine_sidecar *sidecar = events_call_sidecar(call);
     struct pgw_cache_events events = {0};
 
-    if (guard->events_status != 200 ||
-        !guard->options.codec->read_events(&events, guard->events_body->str,
-                                           guard->events_body->len)) {
-        pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
+    if (sidecar->events_status != 200 ||
+        !sidecar->options.codec->read_events(
+            &events, sidecar->events_body->str, sidecar->events_body->len)) {
+        pgw_timer_start(sidecar->loop, &sidecar->events_timer,
+                        EVENTS_RETRY_US);
         return;
     }
-    if (is_of_other_process(guard, &events)) {
+    if (is_from_other_process(sidecar, &events)) {
         g_free(events.events);
-        pgw_engine_sidecar_poll_now(guard);
-        pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
+        pgw_engine_sidecar_poll_now(sidecar);
+        pgw_timer_start(sidecar->loop, &sidecar->events_timer,
+                        EVENTS_RETRY_US);
         return;
     }
-    pgw_cached_parts_apply_events(&guard->parts, &events);
+    pgw_cached_parts_apply_events(&sidecar->cached_parts, &events);
     g_free(events.events);
-    if (pgw_cached_parts_has_changes(&guard->parts, false)) {
-        pgw_engine_sidecar_report_to_all(guard, false);
+    if (pgw_cached_parts_has_changes(&sidecar->cached_parts, false)) {
+        pgw_engine_sidecar_report_to_entries(sidecar, false);
     }
-    pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_PAUSE_US);
+    pgw_timer_start(sidecar->loop, &sidecar->events_timer,
+                    EVENTS_BATCH_DELAY_US);
 }
 
 static void
 events_lost(struct pgw_call *call, enum pgw_call_failure why)
 {
-    struct pgw_engine_sidecar *guard = of_events(call);
+    struct pgw_engine_sidecar *sidecar = events_call_sidecar(call);
 
     (void)why;
-    pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
+    pgw_timer_start(sidecar->loop, &sidecar->events_timer, EVENTS_RETRY_US);
 }
 
 static const struct pgw_call_ops events_ops = {
@@ -291,23 +300,24 @@
 };
 
 void
-pgw_engine_sidecar_events_due(struct pgw_timer *timer)
+pgw_engine_sidecar_on_events_timer(struct pgw_timer *timer)
 {
-    struct pgw_engine_sidecar *guard =
+    struct pgw_engine_sidecar *sidecar =
         pgw_container_of(timer, struct pgw_engine_sidecar, events_timer);
     GString *bytes = g_string_new(NULL);
     struct pgw_call_options options = {
-        .address = &guard->options.engine,
+        .address = &sidecar->options.engine,
         .timeout_us = EVENTS_TIMEOUT_US,
     };
 
-    guard->options.codec->write_events_request(bytes, guard->parts.next,
-                                               EVENTS_WAIT_MS);
+    sidecar->options.codec->write_events_request(
+        bytes, sidecar->cached_parts.next, EVENTS_LONG_POLL_MS);
     options.bytes = bytes->str;
     options.size = bytes->len;
-    guard->events_call.ops = &events_ops;
-    if (!pgw_call_start(&guard->events_call, guard->pool, &options)) {
-        pgw_timer_start(guard->loop, &guard->events_timer, EVENTS_AGAIN_US);
+    sidecar->events_call.ops = &events_ops;
+    if (!pgw_call_start(&sidecar->events_call, sidecar->pool, &options)) {
+        pgw_timer_start(sidecar->loop, &sidecar->events_timer,
+                        EVENTS_RETRY_US);
     }
     g_string_free(bytes, TRUE);
 }
--- a/src/gateway/report_budget.c
+++ b/src/gateway/report_budget.c
@@ -1,65 +1,68 @@
 #include "gateway/report_budget.h"
 #include <glib.h>
 
-/* Bytes a second for the entries of the own zone; fewer where entries of other
- * zones get reports, too. */
-#define NEAR_BYTES_S 15360.0
-#define NEAR_BYTES_BESIDE_FAR_S 8000.0
-/* Bytes a second for all entries of other zones together. */
-#define FAR_BYTES_S 8192ULL
-/* Of these, what goes into the frames that carry the parts. */
-#define FAR_FRAME_BYTES_S 2048ULL
-/* Reports are no more frequent than this, however few the entries. */
-#define FAR_PUSH_MIN_US 100000
+/* Bytes per second for the entries of the local zone; fewer where entries of
+ * other zones get reports, too. */
+#define LOCAL_BYTES_PER_S 15360.0
+#define LOCAL_BYTES_PER_S_WITH_REMOTE 8000.0
+/* Bytes per second for all entries of other zones together. */
+#define REMOTE_BYTES_PER_S 8192ULL
+/* The share of these for the reports without their parts. */
+#define REMOTE_LOAD_BYTES_PER_S 2048ULL
+/* Shortest interval of reports, however few entries there are. */
+#define REMOTE_INTERVAL_MIN_US 100000
 
-/* Longest period of reports on which many entries may decide alike: an engine
- * reads half of a long prompt in it. Back again only where it is clearly
- * shorter, so that entries that restart change little. */
-#define FAR_PERIOD_MAX_US 150000
-#define FAR_PERIOD_BACK_US 110000
+/* Longest interval at which reports to other zones are useful: in this time an
+ * engine prefills half of a long prompt, and all entries decide on the same
+ * report. Reports resume only at a clearly shorter interval, so that restarts
+ * of a few entries do not switch them on and off. */
+#define REMOTE_INTERVAL_MAX_US 150000
+#define REMOTE_INTERVAL_RESUME_US 110000
 
 bool
 pgw_report_budget_allows_report(struct pgw_report_budget *budget,
-                                unsigned far_entries, uint64_t now_us)
+                                unsigned remote_entries, uint64_t now_us)
 {
-    double rate = far_entries > 0 ? NEAR_BYTES_BESIDE_FAR_S : NEAR_BYTES_S;
+    double rate =
+        remote_entries > 0 ? LOCAL_BYTES_PER_S_WITH_REMOTE : LOCAL_BYTES_PER_S;
     double filled =
-        budget->at_us == 0
+        budget->refilled_at_us == 0
             ? rate
-            : budget->bytes + (double)(now_us - budget->at_us) * rate / 1e6;
+            : budget->available_bytes +
+                  (double)(now_us - budget->refilled_at_us) * rate / 1e6;
 
-    /* What was not sent for a second comes at once at the most. */
-    budget->bytes = MIN(filled, rate);
-    budget->at_us = now_us;
-    return budget->bytes > 0;
+    /* Unused bytes accumulate for at most one second. */
+    budget->available_bytes = MIN(filled, rate);
+    budget->refilled_at_us = now_us;
+    return budget->available_bytes > 0;
 }
 
 void
 pgw_report_budget_spend(struct pgw_report_budget *budget, size_t bytes)
 {
-    budget->bytes -= (double)bytes;
+    budget->available_bytes -= (double)bytes;
 }
 
 uint64_t
 pgw_report_budget_remote_period_us(unsigned entries)
 {
     uint64_t us = (uint64_t)MAX(entries, 1) * PGW_REPORT_LOAD_BYTES *
-                  1000000ULL / FAR_FRAME_BYTES_S;
+                  1000000ULL / REMOTE_LOAD_BYTES_PER_S;
 
-    return MAX(us, FAR_PUSH_MIN_US);
+    return MAX(us, REMOTE_INTERVAL_MIN_US);
 }
 
 bool
 pgw_report_budget_reaches_remote(unsigned entries, bool reached)
 {
     return pgw_report_budget_remote_period_us(entries) <=
-           (reached ? FAR_PERIOD_MAX_US : FAR_PERIOD_BACK_US);
+           (reached ? REMOTE_INTERVAL_MAX_US : REMOTE_INTERVAL_RESUME_US);
 }
 
 size_t
 pgw_report_budget_remote_parts_max(unsigned entries)
 {
-    uint64_t bytes = (FAR_BYTES_S - FAR_FRAME_BYTES_S) *
+    uint64_t bytes = (REMOTE_BYTES_PER_S - REMOTE_LOAD_BYTES_PER_S) *
                      pgw_report_budget_remote_period_us(entries) / 1000000ULL;
     uint64_t part_bytes = (uint64_t)MAX(entries, 1) * PGW_REPORT_PART_BYTES;
 
--- a/tests/unit/test_engine_sidecar.c
+++ b/tests/unit/test_engine_sidecar.c
@@ -11,43 +11,44 @@
 #include <unistd.h>
 
 /**
- * struct stage - a guard between an engine and an entry that the test plays
+ * struct fixture - a sidecar between a simulated engine and a simulated entry
+ * @entry: the entry's connection to the sidecar
  * @engine: the engine's listening socket
- * @tokens: fencing tokens given so far
- * @states: states that the entry has heard
- * @loading: the last one said that the engine loads
- * @version: weights in the last one
- * @answer: the last answer to a probe: its number, what is unread,
- *          the word on the first part
- * @lock: of what the entry has heard; a POSIX one, as the thread sanitizer
- *        does not see those inside GLib
+ * @tokens: number of fencing tokens given so far
+ * @report_count: reports that the entry has received
+ * @loading: whether the engine is loading, by the entry's last report
+ * @version: version in the last report with weights
+ * @probe_answer: the last answer to a probe: its number, the tokens left to
+ *   prefill, the update of the first part
+ * @lock: guards what the entry has received; a POSIX mutex, as the thread
+ *   sanitizer does not see those inside GLib
  */
-struct stage {
+struct fixture {
     struct pgw_loop *loop;
-    struct pgw_engine_sidecar *guard;
+    struct pgw_engine_sidecar *sidecar;
     struct pgw_link *entry;
     pthread_t thread;
     int engine;
     uint64_t tokens;
     pthread_mutex_t lock;
-    unsigned states;
+    unsigned report_count;
     bool loading;
     uint64_t version;
     struct {
         uint64_t probe;
         uint64_t unread;
         uint32_t part;
-    } answer;
+    } probe_answer;
 };
 
-static struct stage *stage;
+static struct fixture *fixture;
 
 static void
 get_token(void *context)
 {
     (void)context;
-    stage->tokens++;
-    pgw_engine_sidecar_set_token(stage->guard, 40 + stage->tokens);
+    fixture->tokens++;
+    pgw_engine_sidecar_set_token(fixture->sidecar, 40 + fixture->tokens);
 }
 
 static bool
@@ -61,19 +62,19 @@
     if (type != PGW_FRAME_ENGINE_STATE) {
         return false;
     }
-    pthread_mutex_lock(&stage->lock);
-    stage->states++;
-    stage->loading = state->loading;
+    pthread_mutex_lock(&fixture->lock);
+    fixture->report_count++;
+    fixture->loading = state->loading;
     if (state->n_models > 0) {
-        stage->version = state->models[0]->version;
+        fixture->version = state->models[0]->version;
     }
     if (state->probe != 0) {
-        stage->answer.probe = state->probe;
-        stage->answer.unread = state->unread;
-        stage->answer.part =
+        fixture->probe_answer.probe = state->probe;
+        fixture->probe_answer.unread = state->unread;
+        fixture->probe_answer.part =
             state->n_part_words > 0 ? state->part_words[0] : 0;
     }
-    pthread_mutex_unlock(&stage->lock);
+    pthread_mutex_unlock(&fixture->lock);
     return false;
 }
 
@@ -91,64 +92,65 @@
 };
 
 static void
-stage_open(void)
+open_fixture(void)
 {
     struct pgw_engine_sidecar_options options = {
-        .instance = "guard",
+        .instance = "sidecar",
         .zone = "a",
         .codec = &platform_engine_codec,
         .get_token = get_token,
     };
 
-    stage = g_new0(struct stage, 1);
-    pthread_mutex_init(&stage->lock, NULL);
-    stage->engine = scene_listen(&options.engine);
+    fixture = g_new0(struct fixture, 1);
+    pthread_mutex_init(&fixture->lock, NULL);
+    fixture->engine = scene_listen(&options.engine);
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
-    stage->loop = pgw_loop_new(NULL);
-    stage->guard = pgw_engine_sidecar_new(stage->loop, &options, NULL);
-    g_assert_nonnull(stage->guard);
-    stage->entry = scene_connect_entry(stage->loop, stage->guard, &link_ops);
-    pthread_create(&stage->thread, NULL, scene_loop_main, stage->loop);
+    fixture->loop = pgw_loop_new(NULL);
+    fixture->sidecar = pgw_engine_sidecar_new(fixture->loop, &options, NULL);
+    g_assert_nonnull(fixture->sidecar);
+    fixture->entry =
+        scene_connect_entry(fixture->loop, fixture->sidecar, &link_ops);
+    pthread_create(&fixture->thread, NULL, scene_loop_main, fixture->loop);
 }
 
 static void
-stage_close(void)
+close_fixture(void)
 {
-    pgw_loop_stop(stage->loop);
-    pthread_join(stage->thread, NULL);
-    pgw_link_close(stage->entry);
-    pgw_engine_sidecar_free(stage->guard);
-    pgw_loop_free(stage->loop);
-    close(stage->engine);
-    pthread_mutex_destroy(&stage->lock);
-    g_free(stage);
+    pgw_loop_stop(fixture->loop);
+    pthread_join(fixture->thread, NULL);
+    pgw_link_close(fixture->entry);
+    pgw_engine_sidecar_free(fixture->sidecar);
+    pgw_loop_free(fixture->loop);
+    close(fixture->engine);
+    pthread_mutex_destroy(&fixture->lock);
+    g_free(fixture);
 }
 
-static struct pgw_task name_task;
+static struct pgw_task target_task;
 
 static void
-name_weights(struct pgw_task *task)
+set_target(struct pgw_task *task)
 {
     (void)task;
-    pgw_engine_sidecar_set_target_weights(stage->guard, "m", 2, 0, "i-1");
+    pgw_engine_sidecar_set_target_weights(fixture->sidecar, "m", 2, 0, "i-1");
 }
 
 static bool
-entry_knows_version(uint64_t version, bool loading)
+entry_received(uint64_t version, bool loading)
 {
-    bool known;
+    bool received;
 
-    pthread_mutex_lock(&stage->lock);
-    known = stage->version == version && stage->loading == loading;
-    pthread_mutex_unlock(&stage->lock);
-    return known;
+    pthread_mutex_lock(&fixture->lock);
+    received = fixture->version == version && fixture->loading == loading;
+    pthread_mutex_unlock(&fixture->lock);
+    return received;
 }
 
 static bool
-is_told(const struct scene_engine *engine)
+is_reported(const struct scene_engine *engine)
 {
     (void)engine;
-    return entry_knows_version(1, false);
+    return entry_received(1, false);
 }
 
 static bool
@@ -158,41 +160,42 @@
 }
 
 static bool
-is_open_again(const struct scene_engine *engine)
+is_reported_available(const struct scene_engine *engine)
 {
     (void)engine;
-    return entry_knows_version(2, false);
+    return entry_received(2, false);
 }
 
 /*
- * Weights are named. The entry hears that the engine is about to load before
- * the engine gets the order, so that nothing more is sent to it; the order
- * bears a fencing token and the count of orders before it; once the engine
- * reports the new weights the entry hears that it serves again.
+ * A target version is set. The load is announced to the entry before the
+ * engine gets the order, so that no more requests are sent to the engine. The
+ * order carries a fencing token and the number of orders before it. Once the
+ * engine reports the new weights, the entry gets a report that it serves
+ * again.
  */
 static void
 test_order(void)
 {
     struct scene_engine engine = {.version = 1, .sequence = 3};
 
-    stage_open();
-    engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
-    name_task.run = name_weights;
-    pgw_loop_post(stage->loop, &name_task);
+    open_fixture();
+    engine.listener = fixture->engine;
+    scene_engine_play(&engine, is_reported);
+    target_task.run = set_target;
+    pgw_loop_post(fixture->loop, &target_task);
     scene_engine_play(&engine, is_ordered);
-    g_assert_true(entry_knows_version(1, true));
+    g_assert_true(entry_received(1, true));
     g_assert_nonnull(strstr(engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(engine.order, "\"fence\":41"));
     g_assert_nonnull(strstr(engine.order, "\"expect\":3"));
     g_assert_nonnull(strstr(engine.order, "\"method\":\"block\""));
     engine.version = 2;
     engine.sequence = 4;
-    scene_engine_play(&engine, is_open_again);
+    scene_engine_play(&engine, is_reported_available);
     g_assert_cmpuint(engine.orders, ==, 1);
-    g_assert_cmpuint(stage->tokens, ==, 1);
+    g_assert_cmpuint(fixture->tokens, ==, 1);
     g_free(engine.order);
-    stage_close();
+    close_fixture();
 }
 
 static bool
@@ -202,36 +205,37 @@
 }
 
 /*
- * The engine takes an order, crashes and is back under its id before the next
- * report, with its old weights and no order accepted. It is ordered again at
- * once, with its new count, and not only when the first order is given up.
+ * The engine accepts an order, crashes and restarts under its id before the
+ * next report, with its old weights and a count of no accepted orders. The
+ * order is sent again at once with the new count, without waiting for the
+ * first one to time out.
  */
 static void
-test_restart_during_an_order(void)
+test_restart_during_order(void)
 {
     struct scene_engine engine = {
         .version = 1, .sequence = 3, .started_ms = 1000};
 
-    stage_open();
-    engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
-    name_task.run = name_weights;
-    pgw_loop_post(stage->loop, &name_task);
+    open_fixture();
+    engine.listener = fixture->engine;
+    scene_engine_play(&engine, is_reported);
+    target_task.run = set_target;
+    pgw_loop_post(fixture->loop, &target_task);
     scene_engine_play(&engine, is_ordered);
     engine.started_ms = 2000;
     engine.sequence = 0;
-    /* Busy with something else: without the start the first order would count
-     * as the one that it is busy with. */
+    /* Busy with something else: if the restart went unnoticed, the engine
+     * would seem busy with the first order. */
     engine.busy = true;
     scene_engine_play(&engine, is_ordered_again);
     g_assert_nonnull(strstr(engine.order, "\"expect\":0"));
     g_free(engine.order);
-    stage_close();
+    close_fixture();
 }
 
 static struct pgw_task probe_task;
 
-/* As an entry of another zone: announces a prompt, and asks about its part. */
+/* Announces a prompt and probes its part, as an entry of another zone. */
 static void
 announce_and_probe(struct pgw_task *task)
 {
@@ -246,7 +250,7 @@
     hello.instance = (char *)"e";
     hello.zone = (char *)"b";
     hello.on_request = true;
-    pgw_link_send(stage->entry, PGW_FRAME_HELLO, &hello.base);
+    pgw_link_send(fixture->entry, PGW_FRAME_HELLO, &hello.base);
     part.key = keys[0];
     part.tokens = 5000;
     announcement.parts = parts;
@@ -254,11 +258,12 @@
     announcement.to_read = 6000;
     announcement.memory = 6100;
     announcement.request = 1;
-    pgw_link_send(stage->entry, PGW_FRAME_EXPECTED_PARTS, &announcement.base);
+    pgw_link_send(fixture->entry, PGW_FRAME_EXPECTED_PARTS,
+                  &announcement.base);
     probe.probe = 9;
     probe.part_keys = keys;
     probe.n_part_keys = 1;
-    pgw_link_send(stage->entry, PGW_FRAME_ENGINE_PROBE, &probe.base);
+    pgw_link_send(fixture->entry, PGW_FRAME_ENGINE_PROBE, &probe.base);
 }
 
 static bool
@@ -267,28 +272,29 @@
     bool answered;
 
     (void)engine;
-    pthread_mutex_lock(&stage->lock);
-    answered = stage->answer.probe == 9;
-    pthread_mutex_unlock(&stage->lock);
+    pthread_mutex_lock(&fixture->lock);
+    answered = fixture->probe_answer.probe == 9;
+    pthread_mutex_unlock(&fixture->lock);
     return answered;
 }
 
-/* Guards against entries that all send to one engine between two of its
- * reports: what one announces is told to the next who asks. */
+/* Between two reports of an engine all entries may send to it at once. An
+ * answer to a probe therefore includes the requests that entries have
+ * announced. */
 static void
-test_probe_counts_what_is_announced(void)
+test_probe_counts_announced(void)
 {
     struct scene_engine engine = {.version = 1};
 
-    stage_open();
-    engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
+    open_fixture();
+    engine.listener = fixture->engine;
+    scene_engine_play(&engine, is_reported);
     probe_task.run = announce_and_probe;
-    pgw_loop_post(stage->loop, &probe_task);
+    pgw_loop_post(fixture->loop, &probe_task);
     scene_engine_play(&engine, is_answered);
-    g_assert_cmpuint(stage->answer.unread, ==, 6000);
-    g_assert_cmpuint(stage->answer.part, ==, 1);
-    stage_close();
+    g_assert_cmpuint(fixture->probe_answer.unread, ==, 6000);
+    g_assert_cmpuint(fixture->probe_answer.part, ==, 1);
+    close_fixture();
 }
 
 int
@@ -296,9 +302,10 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/engine_guard/order", test_order);
-    g_test_add_func("/engine_guard/restart", test_restart_during_an_order);
-    g_test_add_func("/engine_guard/probe",
-                    test_probe_counts_what_is_announced);
+    g_test_add_func("/engine_sidecar/order", test_order);
+    g_test_add_func("/engine_sidecar/restart_during_order",
+                    test_restart_during_order);
+    g_test_add_func("/engine_sidecar/probe_counts_announced",
+                    test_probe_counts_announced);
     return g_test_run();
 }
--- a/tests/unit/test_report_budget.c
+++ b/tests/unit/test_report_budget.c
@@ -3,59 +3,63 @@
 
 #define SECONDS 60
 #define STEP_US UINT64_C(1000)
-#define WARM_US UINT64_C(10000000)
+#define WARM_UP_US UINT64_C(10000000)
 
-/* Bytes a second that go to the own zone when there is always news, after what
- * may come at once at the start. */
+/* Bytes per second sent to the local zone when a change is always pending,
+ * without the initial burst. */
 static double
-near_bytes(unsigned near, unsigned far)
+local_bytes_per_s(unsigned local_entries, unsigned remote_entries)
 {
     struct pgw_report_budget budget = {0};
     double sent = 0;
 
-    for (uint64_t now = STEP_US; now <= WARM_US + SECONDS * 1000000ULL;
+    for (uint64_t now = STEP_US; now <= WARM_UP_US + SECONDS * 1000000ULL;
          now += STEP_US) {
-        if (pgw_report_budget_allows_report(&budget, far, now)) {
-            size_t bytes = (size_t)near * PGW_REPORT_LOAD_BYTES;
+        if (pgw_report_budget_allows_report(&budget, remote_entries, now)) {
+            size_t bytes = (size_t)local_entries * PGW_REPORT_LOAD_BYTES;
 
             pgw_report_budget_spend(&budget, bytes);
-            sent += now > WARM_US ? (double)bytes : 0;
+            sent += now > WARM_UP_US ? (double)bytes : 0;
         }
     }
     return sent / SECONDS;
 }
 
+/* Bytes per second sent to entries of other zones. */
 static double
-far_bytes(unsigned far)
+remote_bytes_per_s(unsigned remote_entries)
 {
-    double frames = 1e6 / (double)pgw_report_budget_remote_period_us(far);
+    double reports =
+        1e6 / (double)pgw_report_budget_remote_period_us(remote_entries);
 
-    return far == 0 ? 0
-                    : frames * far *
-                          (PGW_REPORT_LOAD_BYTES +
-                           (double)pgw_report_budget_remote_parts_max(far) *
-                               PGW_REPORT_PART_BYTES);
+    return remote_entries == 0
+               ? 0
+               : reports * remote_entries *
+                     (PGW_REPORT_LOAD_BYTES +
+                      (double)pgw_report_budget_remote_parts_max(
+                          remote_entries) *
+                          PGW_REPORT_PART_BYTES);
 }
 
-/* Guards against control traffic that grows with the entries: 16 KB/s is what
- * a sidecar may send. */
+/* Control traffic that grows with the number of entries would exceed the 16
+ * KB/s that a sidecar may send. */
 static void
-test_bound(void)
+test_bandwidth_limit(void)
 {
     static const unsigned counts[] = {1, 5, 21, 52, 200, 940};
 
     for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
-        g_assert_cmpfloat(near_bytes(counts[i], 0), <=, 16384);
+        g_assert_cmpfloat(local_bytes_per_s(counts[i], 0), <=, 16384);
         for (size_t j = 0; j < G_N_ELEMENTS(counts); j++) {
-            g_assert_cmpfloat(near_bytes(counts[i], counts[j]) +
-                                  far_bytes(counts[j]),
+            g_assert_cmpfloat(local_bytes_per_s(counts[i], counts[j]) +
+                                  remote_bytes_per_s(counts[j]),
                               <=, 16384);
         }
     }
 }
 
-/* Guards against a sidecar that has said much at once and then falls silent.
- */
+/* A sidecar must send reports again some time after a burst has exhausted its
+ * budget. */
 static void
 test_refills(void)
 {
@@ -67,10 +71,11 @@
     g_assert_true(pgw_report_budget_allows_report(&budget, 0, 1000000));
 }
 
-/* Guards against entries that decide alike on old reports, and against a way
- * of placing that changes with each restart of some entries. */
+/* Reports to other zones stop where they would be so old that all entries
+ * choose the same engine. With hysteresis, so that restarts of a few entries
+ * do not switch them on and off. */
 static void
-test_reports_of_other_zones(void)
+test_remote_hysteresis(void)
 {
     g_assert_true(pgw_report_budget_reaches_remote(4, true));
     g_assert_true(pgw_report_budget_reaches_remote(7, true));
@@ -83,8 +88,9 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/guard_budget/bound", test_bound);
-    g_test_add_func("/guard_budget/refills", test_refills);
-    g_test_add_func("/guard_budget/other_zones", test_reports_of_other_zones);
+    g_test_add_func("/report_budget/bandwidth_limit", test_bandwidth_limit);
+    g_test_add_func("/report_budget/refills", test_refills);
+    g_test_add_func("/report_budget/remote_hysteresis",
+                    test_remote_hysteresis);
     return g_test_run();
 }
