--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -8,8 +8,8 @@
 #define REPORT_INTERVAL_US 100000
 #define REPORT_INTERVAL_LOADING_US 40000
 #define REPORT_TIMEOUT_US 400000
-/* How long the engine may hold a long poll for cache events; shorter
- * ones count as probes. */
+/* How long the engine may hold a long poll for cache events; shorter ones
+ * count as probes. */
 #define EVENTS_LONG_POLL_MS 800
 #define EVENTS_TIMEOUT_US 2000000
 /* Delay before the next poll after a response with events, so that events in
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -8,20 +8,21 @@
 #include <netinet/in.h>
 #include <string.h>
 
-/* A process that does not answer is tried again after this time and up to
- * twice as long. */
+/* Delay before a lost or refused connection is retried: from this time to
+ * twice as long, at random. */
 #define RECONNECT_US 400000
-/* Longest time for which "loading" is believed without another word: one that
- * loads says so once a second. */
-#define LOADING_MAX_US 4000000
-/* Up to so many engines an entry can get reports of those of other zones, too,
- * and weigh all of them for a prompt. */
+/* How long a report that an engine is loading stays valid. A sidecar repeats
+ * it once per second. */
+#define LOADING_VALID_US 4000000
+/* Largest pool in which an entry gets reports from sidecars of other zones,
+ * too, and considers all engines for a prompt. */
 #define REPORT_LINKS_MAX PGW_CANDIDATES_MAX
-/* The highest count of entries holds for so long. */
-#define ENTRIES_HOLD_US 5000000
-/* A process that has been silent for so long may be cut off: its word on load
- * and weights is no longer fresh. It speaks once a second. */
-#define FRESH_US 2500000
+/* How long the highest reported number of entries stays valid. */
+#define ENTRY_COUNT_HOLD_US 5000000
+/* How long a report that an engine is unreachable stays valid. A sidecar
+ * reports at least once per second, so one last seen longer ago may be cut
+ * off. */
+#define UNREACHABLE_VALID_US 2500000
 
 struct pgw_upstream *
 pgw_sidecar_link_upstream(const struct pgw_sidecar_links *links,
@@ -31,37 +32,37 @@
                                  engine);
 }
 
-/* Sidecars count the entries that are connected to them. One that has just
- * started counts few, so a lower number holds only once no higher one has been
- * heard for some seconds: repeats beyond the bound are worse than a few less.
- */
+/* Sidecars report how many entries are connected to them. A sidecar that has
+ * just started counts too few, so a lower number is accepted only after no
+ * higher one was reported for some seconds: retries beyond the limit are worse
+ * than a few less. */
 static void
-note_entries(struct pgw_sidecar_links *links, uint32_t entries,
-             uint64_t now_us)
+update_entry_count(struct pgw_sidecar_links *links, uint32_t entries,
+                   uint64_t now_us)
 {
-    if (entries >= links->entries ||
-        now_us - links->entries_at_us > ENTRIES_HOLD_US) {
-        bool changed = links->entries != entries;
+    if (entries >= links->entry_count ||
+        now_us - links->entry_count_us > ENTRY_COUNT_HOLD_US) {
+        bool changed = links->entry_count != entries;
 
-        links->entries = entries;
-        links->entries_at_us = now_us;
+        links->entry_count = entries;
+        links->entry_count_us = now_us;
         pgw_gateway_set_entries(links->gateway, entries);
         if (changed && !links->refresh_posted) {
             links->refresh_posted = true;
-            pgw_loop_post(links->loop, &links->refresh);
+            pgw_loop_post(links->loop, &links->refresh_task);
         }
     }
 }
 
 void
-pgw_sidecar_link_take_part(struct pgw_upstream *upstream, uint64_t key,
-                           uint32_t word, uint64_t now_us)
+pgw_sidecar_link_apply_part(struct pgw_upstream *upstream, uint64_t key,
+                            uint32_t update, uint64_t now_us)
 {
-    if (word % 2 == 1) {
+    if (update % 2 == 1) {
         pgw_recent_parts_add(&upstream->expected, key, now_us);
     }
     else {
-        pgw_upstream_hold(upstream, key, word / 2);
+        pgw_upstream_hold(upstream, key, update / 2);
     }
 }
 
@@ -79,91 +80,93 @@
 }
 
 /*
- * Failure: the sidecar that is connected to is that of another engine.
- * Symptom: the upstream counts as reported on, so that the list no longer says
- * which weights it runs, and nobody else does: it is not used any more.
- * Reports that name no engine are of the one that was named before.
+ * Failure: the connection leads to another engine's sidecar. Symptom: reports
+ * replace the list of upstreams as the source of the upstream's versions, but
+ * none of them is for its engine, so its versions become stale and it is no
+ * longer used. A report without an address is for the engine of the last
+ * report with one.
  */
 static bool
-is_for_this_engine(struct sidecar_link *guard, const Pgw__EngineState *state)
+is_from_linked_engine(struct sidecar_link *link, const Pgw__EngineState *state)
 {
     if (*state->address != '\0') {
-        guard->identified = strcmp(state->address, guard->engine) == 0;
+        link->identified = strcmp(state->address, link->engine) == 0;
     }
-    return guard->identified;
+    return link->identified;
 }
 
 static void
-take_state(struct sidecar_link *guard, const Pgw__EngineState *state)
+handle_report(struct sidecar_link *link, const Pgw__EngineState *state)
 {
     struct pgw_upstream *upstream =
-        pgw_sidecar_link_upstream(guard->links, guard->engine);
+        pgw_sidecar_link_upstream(link->links, link->engine);
     struct pgw_upstream_load load = pgw_sidecar_link_load(state);
     uint64_t now = pgw_now_us();
 
-    if (upstream == NULL || !is_for_this_engine(guard, state)) {
+    if (upstream == NULL || !is_from_linked_engine(link, state)) {
         return;
     }
-    note_entries(guard->links, state->entries, now);
-    if (guard->on_request) {
-        pgw_sidecar_link_take_probe_answer(guard, upstream, state, now);
+    update_entry_count(link->links, state->entries, now);
+    if (link->probe_only) {
+        pgw_sidecar_link_handle_probe_answer(link, upstream, state, now);
         return;
     }
     upstream->guarded = true;
     pgw_upstream_note_seen(upstream, now);
-    pgw_upstream_table_started(pgw_gateway_upstreams(guard->links->gateway),
+    pgw_upstream_table_started(pgw_gateway_upstreams(link->links->gateway),
                                upstream, state->started_ms);
-    pgw_sidecar_links_rollout_take_state(guard->links, upstream, state, now);
+    pgw_sidecar_links_rollout_apply_report(link->links, upstream, state, now);
     if (state->parts_reset) {
         pgw_upstream_forget_parts(upstream);
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
-        pgw_sidecar_link_take_part(upstream, state->part_keys[i],
-                                   state->part_words[i], now);
+        pgw_sidecar_link_apply_part(upstream, state->part_keys[i],
+                                    state->part_words[i], now);
     }
-    pgw_upstream_set_loading(upstream, state->loading || !state->alive,
-                             now + (state->alive ? LOADING_MAX_US : FRESH_US));
+    pgw_upstream_set_loading(
+        upstream, state->loading || !state->alive,
+        now + (state->alive ? LOADING_VALID_US : UNREACHABLE_VALID_US));
     if (state->alive) {
         pgw_upstream_take_load(upstream, &load, now);
     }
     else {
         pgw_crash_quarantine_add_crash(
-            pgw_gateway_crash_quarantine(guard->links->gateway), upstream->id,
+            pgw_gateway_crash_quarantine(link->links->gateway), upstream->id,
             now);
     }
-    pgw_gateway_pump(guard->links->gateway);
+    pgw_gateway_pump(link->links->gateway);
 }
 
 static bool
-on_frame(struct pgw_link *link, enum pgw_frame_type type,
+on_frame(struct pgw_link *connection, enum pgw_frame_type type,
          ProtobufCMessage *message, void *context)
 {
-    (void)link;
+    (void)connection;
     if (type == PGW_FRAME_ENGINE_STATE) {
-        take_state(context, (const Pgw__EngineState *)message);
+        handle_report(context, (const Pgw__EngineState *)message);
     }
     else if (type == PGW_FRAME_QUOTA_ANSWER) {
-        pgw_sidecar_link_take_quota_answer(context,
-                                           (const Pgw__QuotaAnswer *)message);
+        pgw_sidecar_link_handle_quota_answer(
+            context, (const Pgw__QuotaAnswer *)message);
     }
     return false;
 }
 
 static void
-guard_free(void *data)
+free_link(void *data)
 {
-    struct sidecar_link *guard = data;
+    struct sidecar_link *link = data;
 
-    pgw_timer_stop(guard->links->loop, &guard->timer);
-    g_free(guard->engine);
-    g_free(guard);
+    pgw_timer_stop(link->links->loop, &link->connect_timer);
+    g_free(link->engine);
+    g_free(link);
 }
 
-/* The last report may be old: the list speaks again, and a load that was
- * announced is not waited for. */
+/* The last report may be stale: the list of upstreams provides the versions
+ * again, and an announced load is no longer waited for. */
 static void
-forget_reports(struct pgw_upstream *upstream)
+discard_reports(struct pgw_upstream *upstream)
 {
     upstream->guarded = false;
     upstream->loading = false;
@@ -172,33 +175,34 @@
     pgw_upstream_forget_parts(upstream);
 }
 
-/* Only a machine that answers can say that nobody listens: one that is cut off
- * or down says nothing, and its sidecar may be giving orders. */
+/* A refused connection shows that no sidecar runs on the machine. A timeout
+ * does not: the machine may be cut off while its sidecar sends orders. */
 static void
-note_refusal(struct sidecar_link *guard, bool refused)
+record_refusal(struct sidecar_link *link, bool refused)
 {
     if (!refused) {
-        guard->refused_at_us = 0;
+        link->refused_at_us = 0;
     }
-    else if (guard->refused_at_us == 0) {
-        guard->refused_at_us = pgw_now_us();
+    else if (link->refused_at_us == 0) {
+        link->refused_at_us = pgw_now_us();
     }
 }
 
 static void
-on_closed(struct pgw_link *link, const GError *error, void *context)
+on_closed(struct pgw_link *connection, const GError *error, void *context)
 {
-    struct sidecar_link *guard = context;
-    struct pgw_sidecar_links *links = guard->links;
+    struct sidecar_link *link = context;
+    struct pgw_sidecar_links *links = link->links;
     struct pgw_upstream *upstream;
 
-    note_refusal(guard, pgw_link_was_refused(link));
-    guard->link = NULL;
-    upstream = pgw_sidecar_link_upstream(links, guard->engine);
+    record_refusal(link, pgw_link_was_refused(connection));
+    link->connection = NULL;
+    upstream = pgw_sidecar_link_upstream(links, link->engine);
     if (upstream != NULL) {
-        forget_reports(upstream);
-        /* Its machine answers, so that its silence would say nothing. */
-        if (pgw_link_was_ended(link)) {
+        discard_reports(upstream);
+        /* The machine closed the connection itself, so it is reachable, and
+         * the end of the reports does not make the engine suspect. */
+        if (pgw_link_was_ended(connection)) {
             upstream->last_seen_us = 0;
         }
     }
@@ -206,48 +210,49 @@
         return;
     }
     pgw_sidecar_links_rollout_schedule(links);
-    pgw_log_info("guard_link_lost", "engine=%s reason=%s", guard->engine,
+    pgw_log_info("guard_link_lost", "engine=%s reason=%s", link->engine,
                  error == NULL ? "closed" : error->message);
-    if (!guard->wanted) {
-        g_hash_table_remove(links->by_engine, guard->engine);
+    if (!link->needed) {
+        g_hash_table_remove(links->by_engine, link->engine);
         return;
     }
-    pgw_timer_start(links->loop, &guard->timer,
+    pgw_timer_start(links->loop, &link->connect_timer,
                     RECONNECT_US + pgw_random_u64() % RECONNECT_US);
 }
 
 static void
-say_hello(const struct sidecar_link *guard)
+send_hello(const struct sidecar_link *link)
 {
-    const struct pgw_gateway *gateway = guard->links->gateway;
+    const struct pgw_gateway *gateway = link->links->gateway;
     Pgw__Hello hello = PGW__HELLO__INIT;
 
     hello.protocol = PGW_PROTOCOL;
     hello.instance = (char *)pgw_gateway_instance(gateway);
     hello.role = (char *)"entry";
     hello.zone = (char *)pgw_gateway_zone(gateway);
-    hello.on_request = guard->on_request;
+    hello.on_request = link->probe_only;
     hello.age_ms = pgw_gateway_age_ms(gateway);
-    pgw_link_send(guard->link, PGW_FRAME_HELLO, &hello.base);
+    pgw_link_send(link->connection, PGW_FRAME_HELLO, &hello.base);
 }
 
 static void
-on_open(struct pgw_link *link, void *context)
+on_open(struct pgw_link *connection, void *context)
 {
-    struct sidecar_link *guard = context;
+    struct sidecar_link *link = context;
 
     /*
      * Failure: an entry that started before the sidecars was refused once, and
-     * counts from then. Symptom: it gives orders to an engine whose sidecar
-     * does so, too. Who is connected to is there.
+     * the time since then counts as without a sidecar. Symptom: the entry
+     * sends orders to an engine whose sidecar does so, too. An open connection
+     * shows that the sidecar runs.
      */
-    (void)link;
-    note_refusal(guard, false);
-    guard->identified = false;
-    say_hello(guard);
-    memset(guard->told, 0, sizeof(guard->told));
-    pgw_sidecar_link_send_target_weights(guard);
-    pgw_sidecar_links_rollout_schedule(guard->links);
+    (void)connection;
+    record_refusal(link, false);
+    link->identified = false;
+    send_hello(link);
+    memset(link->start_sent, 0, sizeof(link->start_sent));
+    pgw_sidecar_link_send_target_weights(link);
+    pgw_sidecar_links_rollout_schedule(link->links);
 }
 
 static const struct pgw_link_ops link_ops = {
@@ -257,55 +262,56 @@
 };
 
 static void
-connect_due(struct pgw_timer *timer)
+on_connect_timer(struct pgw_timer *timer)
 {
-    struct sidecar_link *guard =
-        pgw_container_of(timer, struct sidecar_link, timer);
+    struct sidecar_link *link =
+        pgw_container_of(timer, struct sidecar_link, connect_timer);
     GError *error = NULL;
 
-    if (!guard->wanted) {
-        g_hash_table_remove(guard->links->by_engine, guard->engine);
+    if (!link->needed) {
+        g_hash_table_remove(link->links->by_engine, link->engine);
         return;
     }
-    guard->link = pgw_link_connect(guard->links->loop, &guard->address,
-                                   &link_ops, guard, &error);
-    if (guard->link == NULL) {
-        pgw_log_warning("guard_link", "engine=%s reason=%s", guard->engine,
+    link->connection = pgw_link_connect(link->links->loop, &link->address,
+                                        &link_ops, link, &error);
+    if (link->connection == NULL) {
+        pgw_log_warning("guard_link", "engine=%s reason=%s", link->engine,
                         error->message);
         g_error_free(error);
-        pgw_timer_start(guard->links->loop, &guard->timer, RECONNECT_US);
+        pgw_timer_start(link->links->loop, &link->connect_timer, RECONNECT_US);
     }
 }
 
 struct sidecar_link *
 pgw_sidecar_link_add(struct pgw_sidecar_links *links,
-                     const struct pgw_upstream *upstream, bool on_request)
+                     const struct pgw_upstream *upstream, bool probe_only)
 {
-    struct sidecar_link *guard = g_new0(struct sidecar_link, 1);
+    struct sidecar_link *link = g_new0(struct sidecar_link, 1);
 
-    guard->links = links;
-    guard->engine = g_strdup(upstream->address_text);
-    guard->address = upstream->address;
-    if (guard->address.storage.ss_family == AF_INET6) {
-        ((struct sockaddr_in6 *)&guard->address.storage)->sin6_port =
+    link->links = links;
+    link->engine = g_strdup(upstream->address_text);
+    link->address = upstream->address;
+    if (link->address.storage.ss_family == AF_INET6) {
+        ((struct sockaddr_in6 *)&link->address.storage)->sin6_port =
             htons(links->port);
     }
     else {
-        ((struct sockaddr_in *)&guard->address.storage)->sin_port =
+        ((struct sockaddr_in *)&link->address.storage)->sin_port =
             htons(links->port);
     }
-    guard->wanted = true;
-    guard->on_request = on_request;
-    guard->timer.on_due = connect_due;
-    g_hash_table_insert(links->by_engine, guard->engine, guard);
-    pgw_timer_start(links->loop, &guard->timer, 0);
-    return guard;
+    link->needed = true;
+    link->probe_only = probe_only;
+    link->connect_timer.on_due = on_connect_timer;
+    g_hash_table_insert(links->by_engine, link->engine, link);
+    pgw_timer_start(links->loop, &link->connect_timer, 0);
+    return link;
 }
 
-/** struct engine_count - engines in the list, and those of the own zone */
+/** struct engine_count - number of listed engines, and of those in the local
+ * zone */
 struct engine_count {
     unsigned all;
-    unsigned near;
+    unsigned local;
 };
 
 static struct engine_count
@@ -320,32 +326,35 @@
 
         if (upstream->model_count > 0) {
             count.all++;
-            count.near += upstream->same_zone;
+            count.local += upstream->same_zone;
         }
     }
     return count;
 }
 
-/* Entries are spread over the zones as engines are, as far as can be known. */
+/* Whether sidecars of other zones can report to this entry often enough.
+ * Assumes that entries are spread over the zones as engines are. */
 static bool
-reports_reach(const struct pgw_sidecar_links *links,
-              const struct engine_count *engines)
+can_get_remote_reports(const struct pgw_sidecar_links *links,
+                       const struct engine_count *engines)
 {
-    unsigned far =
-        engines->all == 0
-            ? 0
-            : links->entries * (engines->all - engines->near) / engines->all;
+    unsigned remote_entries =
+        engines->all == 0 ? 0
+                          : links->entry_count *
+                                (engines->all - engines->local) / engines->all;
 
     return engines->all <= REPORT_LINKS_MAX &&
-           pgw_report_budget_reaches_remote(far, !links->divided);
+           pgw_report_budget_reaches_remote(remote_entries,
+                                            !links->remote_probe_only);
 }
 
-/* The number of entries has changed. */
+/* Checks after a change of the number of entries whether reports of other
+ * zones start or stop. */
 static void
-refresh_run(struct pgw_task *task)
+run_refresh_task(struct pgw_task *task)
 {
     struct pgw_sidecar_links *links =
-        pgw_container_of(task, struct pgw_sidecar_links, refresh);
+        pgw_container_of(task, struct pgw_sidecar_links, refresh_task);
     struct engine_count engines;
 
     links->refresh_posted = false;
@@ -353,7 +362,7 @@
         return;
     }
     engines = count_engines(links);
-    if (reports_reach(links, &engines) == links->divided) {
+    if (can_get_remote_reports(links, &engines) == links->remote_probe_only) {
         pgw_sidecar_links_refresh(links);
     }
 }
@@ -367,11 +376,11 @@
     links->loop = loop;
     links->gateway = gateway;
     links->port = port;
-    links->refresh.run = refresh_run;
+    links->refresh_task.run = run_refresh_task;
     pgw_sidecar_links_rollout_init(links);
     pgw_gateway_set_sidecars(gateway, &pgw_sidecar_links_ops, links);
     links->by_engine =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, guard_free);
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_link);
     return links;
 }
 
@@ -385,10 +394,10 @@
     pgw_gateway_set_sidecars(links->gateway, NULL, NULL);
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct sidecar_link *guard = value;
+        struct sidecar_link *link = value;
 
-        if (guard->link != NULL) {
-            pgw_link_close(guard->link);
+        if (link->connection != NULL) {
+            pgw_link_close(link->connection);
         }
     }
     pgw_loop_run_tasks(links->loop);
@@ -398,20 +407,20 @@
 }
 
 static void
-drop_unwanted(struct pgw_sidecar_links *links)
+close_unneeded(struct pgw_sidecar_links *links)
 {
     GHashTableIter iter;
     void *value;
 
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct sidecar_link *guard = value;
+        struct sidecar_link *link = value;
 
-        if (guard->wanted) {
+        if (link->needed) {
             continue;
         }
-        if (guard->link != NULL) {
-            pgw_link_close(guard->link);
+        if (link->connection != NULL) {
+            pgw_link_close(link->connection);
         }
         else {
             g_hash_table_iter_remove(&iter);
@@ -420,75 +429,76 @@
 }
 
 /**
- * struct reach - whose sidecars an entry connects to
- * @reports: all of them, for reports
- * @probes: all of them, so that any home can be asked
+ * struct link_scope - which sidecars of other zones an entry connects to
+ * @reports: all of them, for their reports
+ * @probes: all of them, so that any engine can be probed
  */
-struct reach {
+struct link_scope {
     bool reports;
     bool probes;
 };
 
 /*
- * Failure: engines come into the list one by one, so that at first they are
- * few, and their sidecars are asked for reports; then there are more, and the
- * reports end. Symptom: all of them count as suspended, since nothing has come
- * from them for seconds. Of one that only answers probes silence says nothing.
+ * Failure: engines are added to the list one by one. While they are few, their
+ * sidecars send reports; once there are more, the reports stop. Symptom: all
+ * of these engines count as unresponsive, as no report arrived for seconds.
+ * The time of the last report is therefore cleared: an engine whose sidecar
+ * only answers probes has none.
  */
 static void
-set_on_request(struct sidecar_link *guard, struct pgw_upstream *upstream,
-               bool on_request)
+set_probe_only(struct sidecar_link *link, struct pgw_upstream *upstream,
+               bool probe_only)
 {
-    if (guard->on_request == on_request) {
+    if (link->probe_only == probe_only) {
         return;
     }
-    guard->on_request = on_request;
-    forget_reports(upstream);
+    link->probe_only = probe_only;
+    discard_reports(upstream);
     upstream->last_seen_us = 0;
-    if (guard->link != NULL && pgw_link_is_open(guard->link)) {
-        say_hello(guard);
+    if (link->connection != NULL && pgw_link_is_open(link->connection)) {
+        send_hello(link);
     }
 }
 
 static void
 refresh_link(struct pgw_sidecar_links *links, struct pgw_upstream *upstream,
-             const struct reach *reach, uint64_t now_us)
+             const struct link_scope *scope, uint64_t now_us)
 {
-    struct sidecar_link *guard =
+    struct sidecar_link *link =
         g_hash_table_lookup(links->by_engine, upstream->address_text);
-    bool reports = upstream->same_zone || reach->reports;
+    bool reports = upstream->same_zone || scope->reports;
 
-    if (guard == NULL) {
-        if (reports || reach->probes) {
+    if (link == NULL) {
+        if (reports || scope->probes) {
             pgw_sidecar_link_add(links, upstream, !reports);
         }
         return;
     }
-    guard->wanted =
-        reports || reach->probes || pgw_sidecar_link_is_probed(guard, now_us);
-    set_on_request(guard, upstream, !reports);
-    pgw_sidecar_link_send_target_weights(guard);
+    link->needed = reports || scope->probes ||
+                   pgw_sidecar_link_was_probed_recently(link, now_us);
+    set_probe_only(link, upstream, !reports);
+    pgw_sidecar_link_send_target_weights(link);
 }
 
 static void
-set_divided(struct pgw_sidecar_links *links, bool divided)
+set_remote_probe_only(struct pgw_sidecar_links *links, bool probe_only)
 {
-    if (links->divided == divided) {
+    if (links->remote_probe_only == probe_only) {
         return;
     }
-    links->divided = divided;
-    pgw_log_info("far_reports", "asked_for=%d entries=%u", (int)divided,
-                 links->entries);
+    links->remote_probe_only = probe_only;
+    pgw_log_info("far_reports", "asked_for=%d entries=%u", (int)probe_only,
+                 links->entry_count);
     pgw_upstream_table_set_divided(pgw_gateway_upstreams(links->gateway),
-                                   divided);
+                                   probe_only);
 }
 
 void
 pgw_sidecar_links_refresh(struct pgw_sidecar_links *links)
 {
     struct engine_count engines = count_engines(links);
-    struct reach reach = {
-        .reports = reports_reach(links, &engines),
+    struct link_scope scope = {
+        .reports = can_get_remote_reports(links, &engines),
         .probes = engines.all <= PGW_PROBE_LINKS_MAX &&
                   pgw_policy_is_on(pgw_gateway_policy(links->gateway),
                                    PGW_HOME_PROBES),
@@ -497,10 +507,10 @@
     GHashTableIter iter;
     void *value;
 
-    set_divided(links, !reach.reports);
+    set_remote_probe_only(links, !scope.reports);
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((struct sidecar_link *)value)->wanted = false;
+        ((struct sidecar_link *)value)->needed = false;
     }
     pgw_list_foreach (
         item, pgw_upstream_table_all(pgw_gateway_upstreams(links->gateway))) {
@@ -508,10 +518,10 @@
             pgw_container_of(item, struct pgw_upstream, in_table);
 
         if (upstream->model_count > 0) {
-            refresh_link(links, upstream, &reach, now);
+            refresh_link(links, upstream, &scope, now);
         }
     }
-    drop_unwanted(links);
+    close_unneeded(links);
     pgw_quota_upstreams_changed(pgw_gateway_quota(links->gateway));
     pgw_sidecar_links_rollout_schedule(links);
 }
@@ -534,9 +544,9 @@
                              const struct pgw_upstream *upstream,
                              uint64_t for_us)
 {
-    const struct sidecar_link *guard =
+    const struct sidecar_link *link =
         g_hash_table_lookup(links->by_engine, upstream->address_text);
 
-    return guard != NULL && guard->refused_at_us > 0 &&
-           pgw_now_us() - guard->refused_at_us >= for_us;
+    return link != NULL && link->refused_at_us > 0 &&
+           pgw_now_us() - link->refused_at_us >= for_us;
 }
--- a/src/gateway/sidecar_links_internal.h
+++ b/src/gateway/sidecar_links_internal.h
@@ -6,68 +6,78 @@
 #include "libparsleygw/link.h"
 
 /**
- * DOC: Inside of an entry's connections to the processes beside the engines
+ * DOC: Internals of an entry's connections to sidecars
  *
- * guard_links.c connects and hears what the engines hold and do,
- * guard_probe.c asks them and announces requests, guard_rollout.c tells them
- * when to load. Nobody else includes this.
+ * sidecar_links.c connects and applies the sidecars' reports,
+ * sidecar_links_probe.c sends probes and announces requests,
+ * sidecar_links_rollout.c selects the engines that load weights. No other file
+ * includes this header.
  */
 
-/* Links to sidecars that only answer probes: each takes a descriptor of some
- * thousand. Of a larger pool those are linked whose engines are homes of what
- * an entry is asked for. */
+/* Maximum number of links to sidecars that only answer probes: each uses one
+ * of some thousand file descriptors. In a larger pool, links are opened on
+ * demand to the engines that an entry probes. */
 #define PGW_PROBE_LINKS_MAX 512
 
 /**
- * struct sidecar_link - the connection to the process beside one engine
+ * struct sidecar_link - the connection to one engine's sidecar
  * @engine: address of the engine
- * @refused_at_us: since when nobody listens there, 0: somebody may
- * @identified: its reports are of this engine
- * @on_request: in another zone of a large pool: it answers probes, and sends
- *   nothing else
- * @probed_at_us: when it was last asked, 0: never
- * @told: for each of the engine's models the last version that its turn was
- *   told of
+ * @connection: NULL while not connected or connecting
+ * @connect_timer: next attempt to connect
+ * @refused_at_us: since when connections are refused, 0: they are not
+ * @identified: reports on this connection are for this engine
+ * @probe_only: the sidecar is in another zone of a large pool: it answers
+ *   probes, and sends no other reports
+ * @probed_at_us: time of the last probe, 0: never
+ * @start_sent: for each of the engine's models, the last version that the
+ *   engine was selected to load
+ * @needed: the engine is listed, and its sidecar is to be connected to
  */
 struct sidecar_link {
     struct pgw_sidecar_links *links;
     char *engine;
     struct pgw_address address;
-    struct pgw_link *link;
-    struct pgw_timer timer;
+    struct pgw_link *connection;
+    struct pgw_timer connect_timer;
     uint64_t refused_at_us;
     bool identified;
-    bool on_request;
+    bool probe_only;
     uint64_t probed_at_us;
-    uint64_t told[PGW_UPSTREAM_MODELS_MAX];
-    bool wanted;
+    uint64_t start_sent[PGW_UPSTREAM_MODELS_MAX];
+    bool needed;
 };
 
 /**
- * struct pgw_sidecar_links - all of them
+ * struct pgw_sidecar_links - an entry's connections to sidecars
  * @by_engine: address -> &struct sidecar_link
- * @entries: entries that there are, as sidecars count them
- * @entries_at_us: when that was last confirmed
- * @divided: sidecars of other zones answer probes, and send nothing else
- * @refresh: looks whether @divided still fits, once for a turn of the loop
+ * @entry_count: number of entries, as reported by the sidecars
+ * @entry_count_us: when that number was last confirmed
+ * @remote_probe_only: sidecars of other zones answer probes, and send no other
+ *   reports
+ * @refresh_task: checks whether @remote_probe_only still fits, once per
+ *   iteration of the loop
+ * @refresh_posted: @refresh_task is posted
+ * @load_times: recent loading times
+ * @window_timer: next update of the rollout windows
+ * @closing: all connections are being closed
  */
 struct pgw_sidecar_links {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
     GHashTable *by_engine;
     uint16_t port;
-    uint32_t entries;
-    uint64_t entries_at_us;
-    bool divided;
-    struct pgw_task refresh;
+    uint32_t entry_count;
+    uint64_t entry_count_us;
+    bool remote_probe_only;
+    struct pgw_task refresh_task;
     bool refresh_posted;
-    struct pgw_weights_load_times pace;
+    struct pgw_weights_load_times load_times;
     struct pgw_timer window_timer;
     bool closing;
 };
 
-/** pgw_sidecar_link_upstream() - the engine's, as the list names it now; NULL
- */
+/** pgw_sidecar_link_upstream() - the listed upstream of an engine's address,
+ * NULL: none */
 struct pgw_upstream *
 pgw_sidecar_link_upstream(const struct pgw_sidecar_links *links,
                           const char *engine);
@@ -75,49 +85,58 @@
 /** pgw_sidecar_link_load() - the load in a sidecar's report */
 struct pgw_upstream_load pgw_sidecar_link_load(const Pgw__EngineState *state);
 
-/** pgw_sidecar_link_take_part() - a sidecar's word on a part; @word: its
- * tokens, times two, and one more when it is on its way there */
-void pgw_sidecar_link_take_part(struct pgw_upstream *upstream, uint64_t key,
-                                uint32_t word, uint64_t now_us);
+/**
+ * pgw_sidecar_link_apply_part() - apply the update of a part in a report
+ * @upstream: the engine
+ * @key: pgw_part_key() of the part
+ * @update: number of cached tokens times two, plus one if the part is only
+ *   expected
+ * @now_us: monotonic time
+ */
+void pgw_sidecar_link_apply_part(struct pgw_upstream *upstream, uint64_t key,
+                                 uint32_t update, uint64_t now_us);
 
-/** pgw_sidecar_link_add() - begin to connect to the sidecar of an upstream */
+/** pgw_sidecar_link_add() - add a link to an upstream's sidecar, and start to
+ * connect */
 struct sidecar_link *pgw_sidecar_link_add(struct pgw_sidecar_links *links,
                                           const struct pgw_upstream *upstream,
-                                          bool on_request);
+                                          bool probe_only);
 
-/* guard_probe.c */
-/* Requests and probes of the gateway, on their way to sidecars. */
+/* sidecar_links_probe.c */
+/* Sends the gateway's announcements, probes and quota requests to sidecars. */
 extern const struct pgw_sidecar_ops pgw_sidecar_links_ops;
-/** pgw_sidecar_link_is_probed() - a link that answers probes was used lately
+/** pgw_sidecar_link_was_probed_recently() - whether a probe-only link is in
+ * use
  */
-bool pgw_sidecar_link_is_probed(const struct sidecar_link *guard,
-                                uint64_t now_us);
-/** pgw_sidecar_link_take_probe_answer() - an answer to a probe */
-void pgw_sidecar_link_take_probe_answer(struct sidecar_link *guard,
-                                        struct pgw_upstream *upstream,
-                                        const Pgw__EngineState *state,
-                                        uint64_t now_us);
+bool pgw_sidecar_link_was_probed_recently(const struct sidecar_link *link,
+                                          uint64_t now_us);
+/** pgw_sidecar_link_handle_probe_answer() - apply an answer to a probe */
+void pgw_sidecar_link_handle_probe_answer(struct sidecar_link *link,
+                                          struct pgw_upstream *upstream,
+                                          const Pgw__EngineState *state,
+                                          uint64_t now_us);
 
-/** pgw_sidecar_link_take_quota_answer() - the answer of a quota's owner */
-void pgw_sidecar_link_take_quota_answer(const struct sidecar_link *guard,
-                                        const Pgw__QuotaAnswer *message);
+/** pgw_sidecar_link_handle_quota_answer() - pass on the answer of a quota's
+ * owner */
+void pgw_sidecar_link_handle_quota_answer(const struct sidecar_link *link,
+                                          const Pgw__QuotaAnswer *message);
 
-/* guard_rollout.c */
-/** pgw_sidecar_links_rollout_init() - its part of the state */
+/* sidecar_links_rollout.c */
+/** pgw_sidecar_links_rollout_init() - initialize the state of rollouts */
 void pgw_sidecar_links_rollout_init(struct pgw_sidecar_links *links);
-/** pgw_sidecar_links_rollout_dispose() - free it */
+/** pgw_sidecar_links_rollout_dispose() - release the state of rollouts */
 void pgw_sidecar_links_rollout_dispose(struct pgw_sidecar_links *links);
-/** pgw_sidecar_link_send_target_weights() - tell one engine of the weights
- * that are named; by itself it begins late */
-void pgw_sidecar_link_send_target_weights(struct sidecar_link *guard);
-/** pgw_sidecar_links_rollout_schedule() - look at who may load, once for all
- * that comes in a turn of the loop */
+/** pgw_sidecar_link_send_target_weights() - send the target versions to one
+ * sidecar, with the late start that holds unless the engine is selected */
+void pgw_sidecar_link_send_target_weights(struct sidecar_link *link);
+/** pgw_sidecar_links_rollout_schedule() - update the rollout windows, once per
+ * iteration of the loop */
 void pgw_sidecar_links_rollout_schedule(struct pgw_sidecar_links *links);
-/** pgw_sidecar_links_rollout_take_state() - an engine's word on its weights,
- * and whether it is away for others */
-void pgw_sidecar_links_rollout_take_state(struct pgw_sidecar_links *links,
-                                          struct pgw_upstream *upstream,
-                                          const Pgw__EngineState *state,
-                                          uint64_t now_us);
+/** pgw_sidecar_links_rollout_apply_report() - apply a report's versions, and
+ * whether the engine is loading */
+void pgw_sidecar_links_rollout_apply_report(struct pgw_sidecar_links *links,
+                                            struct pgw_upstream *upstream,
+                                            const Pgw__EngineState *state,
+                                            uint64_t now_us);
 
 #endif
--- a/src/gateway/sidecar_links_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -1,38 +1,38 @@
 #include "gateway/sidecar_links_internal.h"
 
-/* Where there are more engines than links, one that was not used for so long
- * is closed. */
+/* Idle time after which a probe-only link is closed, in pools with more
+ * engines than links. */
 #define LINK_IDLE_US 30000000
-/* An answer that an engine loads weights is believed for so long, and one that
- * it does not answer its sidecar: it is not asked meanwhile, and other engines
- * are homes. */
-#define LOADING_HOLDS_US 400000
-#define DEAD_HOLDS_US 2000000
+/* How long a probe's answer stays valid that an engine is loading weights, or
+ * that it is unreachable. In that time the engine is not probed, and other
+ * engines are chosen for its prompts. */
+#define LOADING_VALID_US 400000
+#define UNREACHABLE_VALID_US 2000000
 
 static struct sidecar_link *
-link_of(const struct pgw_sidecar_links *links,
-        const struct pgw_upstream *upstream)
+find_link(const struct pgw_sidecar_links *links,
+          const struct pgw_upstream *upstream)
 {
     return g_hash_table_lookup(links->by_engine, upstream->address_text);
 }
 
 static bool
-is_open(const struct sidecar_link *guard)
+is_open(const struct sidecar_link *link)
 {
-    return guard != NULL && guard->link != NULL &&
-           pgw_link_is_open(guard->link);
+    return link != NULL && link->connection != NULL &&
+           pgw_link_is_open(link->connection);
 }
 
 static void
 announce(void *context, const struct pgw_upstream *upstream,
          const struct pgw_announcement *announcement)
 {
-    const struct sidecar_link *guard = link_of(context, upstream);
+    const struct sidecar_link *link = find_link(context, upstream);
     Pgw__ExpectedParts message = PGW__EXPECTED_PARTS__INIT;
     Pgw__HeldPart items[PGW_PROMPT_PARTS_MAX];
     Pgw__HeldPart *pointers[PGW_PROMPT_PARTS_MAX];
 
-    if (!is_open(guard)) {
+    if (!is_open(link)) {
         return;
     }
     for (size_t i = 0; i < announcement->count; i++) {
@@ -46,7 +46,7 @@
     message.to_read = announcement->to_read;
     message.memory = announcement->memory;
     message.request = announcement->request;
-    pgw_link_send(guard->link, PGW_FRAME_EXPECTED_PARTS, &message.base);
+    pgw_link_send(link->connection, PGW_FRAME_EXPECTED_PARTS, &message.base);
 }
 
 static unsigned
@@ -58,43 +58,43 @@
 
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((const struct sidecar_link *)value)->on_request;
+        count += ((const struct sidecar_link *)value)->probe_only;
     }
     return count;
 }
 
-/* The open link to a sidecar that is asked something; NULL: there is none. The
- * first question only connects to it. */
+/* The open link to an upstream's sidecar, NULL: there is none. The first call
+ * only starts to connect. */
 static struct sidecar_link *
-link_to_ask(struct pgw_sidecar_links *links,
-            const struct pgw_upstream *upstream)
+get_open_link(struct pgw_sidecar_links *links,
+              const struct pgw_upstream *upstream)
 {
-    struct sidecar_link *guard = link_of(links, upstream);
+    struct sidecar_link *link = find_link(links, upstream);
 
-    if (guard == NULL) {
+    if (link == NULL) {
         if (count_probe_links(links) >= PGW_PROBE_LINKS_MAX) {
             return NULL;
         }
-        guard = pgw_sidecar_link_add(links, upstream, true);
+        link = pgw_sidecar_link_add(links, upstream, true);
     }
-    guard->probed_at_us = pgw_now_us();
-    return is_open(guard) ? guard : NULL;
+    link->probed_at_us = pgw_now_us();
+    return is_open(link) ? link : NULL;
 }
 
 static bool
 probe(void *context, const struct pgw_upstream *upstream, uint64_t probe,
       const uint64_t *keys, size_t count)
 {
-    struct sidecar_link *guard = link_to_ask(context, upstream);
+    struct sidecar_link *link = get_open_link(context, upstream);
     Pgw__EngineProbe message = PGW__ENGINE_PROBE__INIT;
 
-    if (guard == NULL) {
+    if (link == NULL) {
         return false;
     }
     message.probe = probe;
     message.part_keys = (uint64_t *)keys;
     message.n_part_keys = count;
-    pgw_link_send(guard->link, PGW_FRAME_ENGINE_PROBE, &message.base);
+    pgw_link_send(link->connection, PGW_FRAME_ENGINE_PROBE, &message.base);
     return true;
 }
 
@@ -102,10 +102,10 @@
 ask_quota(void *context, const struct pgw_upstream *upstream,
           const struct pgw_quota_ask *ask)
 {
-    struct sidecar_link *guard = link_to_ask(context, upstream);
+    struct sidecar_link *link = get_open_link(context, upstream);
     Pgw__QuotaAsk message = PGW__QUOTA_ASK__INIT;
 
-    if (guard == NULL) {
+    if (link == NULL) {
         return false;
     }
     message.workspace = ask->request.workspace;
@@ -117,13 +117,13 @@
     message.refused = ask->request.refused;
     message.cost = ask->request.cost;
     message.stands_in = ask->stands_in;
-    pgw_link_send(guard->link, PGW_FRAME_QUOTA_ASK, &message.base);
+    pgw_link_send(link->connection, PGW_FRAME_QUOTA_ASK, &message.base);
     return true;
 }
 
 void
-pgw_sidecar_link_take_quota_answer(const struct sidecar_link *guard,
-                                   const Pgw__QuotaAnswer *message)
+pgw_sidecar_link_handle_quota_answer(const struct sidecar_link *link,
+                                     const Pgw__QuotaAnswer *message)
 {
     struct pgw_quota_answer answer = {
         .granted = message->granted,
@@ -132,10 +132,10 @@
         .retry_ms = message->retry_ms,
     };
     const struct pgw_upstream *upstream =
-        pgw_sidecar_link_upstream(guard->links, guard->engine);
+        pgw_sidecar_link_upstream(link->links, link->engine);
 
     if (upstream != NULL) {
-        pgw_quota_answered(pgw_gateway_quota(guard->links->gateway), upstream,
+        pgw_quota_answered(pgw_gateway_quota(link->links->gateway), upstream,
                            message->workspace, message->ask, &answer);
     }
 }
@@ -147,21 +147,23 @@
 };
 
 bool
-pgw_sidecar_link_is_probed(const struct sidecar_link *guard, uint64_t now_us)
+pgw_sidecar_link_was_probed_recently(const struct sidecar_link *link,
+                                     uint64_t now_us)
 {
-    return guard->on_request && guard->probed_at_us > 0 &&
-           now_us - guard->probed_at_us < LINK_IDLE_US;
+    return link->probe_only && link->probed_at_us > 0 &&
+           now_us - link->probed_at_us < LINK_IDLE_US;
 }
 
-/* Nothing is known from one answer to the next, so the list goes on speaking
- * for the engine, and its sidecar's silence says nothing. */
+/* The state between two answers is unknown, so the list of upstreams remains
+ * the source of the engine's versions, and the answer does not count towards
+ * its liveness. */
 void
-pgw_sidecar_link_take_probe_answer(struct sidecar_link *guard,
-                                   struct pgw_upstream *upstream,
-                                   const Pgw__EngineState *state,
-                                   uint64_t now_us)
+pgw_sidecar_link_handle_probe_answer(struct sidecar_link *link,
+                                     struct pgw_upstream *upstream,
+                                     const Pgw__EngineState *state,
+                                     uint64_t now_us)
 {
-    struct pgw_gateway *gateway = guard->links->gateway;
+    struct pgw_gateway *gateway = link->links->gateway;
     struct pgw_upstream_load load = pgw_sidecar_link_load(state);
 
     pgw_upstream_table_started(pgw_gateway_upstreams(gateway), upstream,
@@ -172,12 +174,12 @@
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
-        pgw_sidecar_link_take_part(upstream, state->part_keys[i],
-                                   state->part_words[i], now_us);
+        pgw_sidecar_link_apply_part(upstream, state->part_keys[i],
+                                    state->part_words[i], now_us);
     }
     pgw_upstream_set_loading(
         upstream, state->loading || !state->alive,
-        now_us + (state->alive ? LOADING_HOLDS_US : DEAD_HOLDS_US));
+        now_us + (state->alive ? LOADING_VALID_US : UNREACHABLE_VALID_US));
     if (state->alive) {
         pgw_upstream_take_load(upstream, &load, now_us);
     }
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -2,30 +2,31 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* An engine that loads is waited for at least so long. */
-#define UNDER_WAY_LEAST_US 5000000
-/* While engines load, the window is looked at at least this often. */
-#define WINDOW_US 100000
+/* Shortest time after which a load counts as stuck. */
+#define LOAD_TIMEOUT_MIN_US 5000000
+/* Longest interval between two updates of the windows during a rollout. */
+#define WINDOW_INTERVAL_US 100000
 
 static struct pgw_metric_gauge window_size = {
     .name = "pgw_weights_window",
-    .help = "Engines that load weights at once; 0: no rollout",
+    .help =
+        "Maximum number of engines that load weights at once; 0: no rollout",
 };
 static struct pgw_metric_gauge load_expected_ms = {
     .name = "pgw_weights_load_expected_ms",
-    .help = "Time that an engine is away for a load, as observed",
+    .help = "Expected time for which an engine is unavailable while it loads",
 };
 
-/* Place of an engine in the order in which a version is loaded: each rollout
- * draws anew, so that it is not always the same ones that serve the old
- * weights longest; all entries draw alike. */
+/* Rank of an engine in the order in which a version is loaded. It depends on
+ * the version, so that not always the same engines serve the old weights
+ * longest, and is the same at all entries. */
 static uint64_t
-place_of(const struct pgw_upstream *upstream, uint64_t version)
+rollout_rank(const struct pgw_upstream *upstream, uint64_t version)
 {
     return upstream->id_hash * (2 * version + 1);
 }
 
-/* Where a model stands among those of an engine; their count: it is not one */
+/* Index of a model among those of an engine; model_count: it is not there. */
 static size_t
 index_of_model(const struct pgw_upstream *upstream, const char *model)
 {
@@ -38,10 +39,12 @@
     return i;
 }
 
-/* Tells an engine of a version, and when to begin at the latest. */
+/* Sends a target version to an engine's sidecar, and when to start at the
+ * latest. */
 static void
-tell_weights(struct sidecar_link *guard, const struct pgw_upstream *upstream,
-             const char *model, uint64_t version, uint64_t start_in_us)
+send_target_version(struct sidecar_link *link,
+                    const struct pgw_upstream *upstream, const char *model,
+                    uint64_t version, uint64_t start_in_us)
 {
     Pgw__LoadWeights message = PGW__LOAD_WEIGHTS__INIT;
 
@@ -49,133 +52,138 @@
     message.version = version;
     message.instance = upstream->id;
     message.start_in_ms = (uint32_t)MIN(start_in_us / 1000, UINT32_MAX);
-    pgw_link_send(guard->link, PGW_FRAME_LOAD_WEIGHTS, &message.base);
+    pgw_link_send(link->connection, PGW_FRAME_LOAD_WEIGHTS, &message.base);
 }
 
-/* The weights that an engine runs when it hears of @wanted. One that is away
- * for a load gets those of before: it serves with them until its next turn. */
+/* The version that an engine serves with until it loads the target version. An
+ * engine that is loading runs the version before the target afterwards, until
+ * it is selected again. */
 static uint64_t
-soon_running(const struct pgw_upstream *upstream, size_t model,
-             uint64_t wanted)
+version_before_load(const struct pgw_upstream *upstream, size_t model,
+                    uint64_t target_version)
 {
     return upstream->loads_since_us == 0 ? upstream->models[model].version
-                                         : wanted - 1;
+                                         : target_version - 1;
 }
 
-/* By itself it begins late; it is told when its turn has come. */
+/* The engine starts late by itself; if it is selected before that, another
+ * message makes it start at once. */
 void
-pgw_sidecar_link_send_target_weights(struct sidecar_link *guard)
+pgw_sidecar_link_send_target_weights(struct sidecar_link *link)
 {
-    const struct pgw_sidecar_links *links = guard->links;
+    const struct pgw_sidecar_links *links = link->links;
     struct pgw_upstream *upstream =
-        pgw_sidecar_link_upstream(links, guard->engine);
+        pgw_sidecar_link_upstream(links, link->engine);
 
-    if (upstream == NULL || guard->link == NULL || guard->on_request) {
+    if (upstream == NULL || link->connection == NULL || link->probe_only) {
         return;
     }
     for (size_t i = 0; i < upstream->model_count; i++) {
         const char *model = upstream->models[i].model;
         uint64_t version = pgw_gateway_weights(links->gateway, model);
-        uint64_t left;
+        uint64_t usable_us;
 
         if (version == 0) {
             continue;
         }
-        left = pgw_gateway_weights_left(links->gateway, model,
-                                        soon_running(upstream, i, version));
-        tell_weights(
-            guard, upstream, model, version,
-            left == UINT64_MAX
-                ? 0
-                : pgw_rollout_window_latest_start_us(
-                      (double)place_of(upstream, version) / (double)UINT64_MAX,
-                      left));
+        usable_us = pgw_gateway_weights_left(
+            links->gateway, model, version_before_load(upstream, i, version));
+        send_target_version(link, upstream, model, version,
+                            usable_us == UINT64_MAX
+                                ? 0
+                                : pgw_rollout_window_latest_start_us(
+                                      (double)rollout_rank(upstream, version) /
+                                          (double)UINT64_MAX,
+                                      usable_us));
     }
 }
 
 /**
- * struct rollout - one model's engines that this entry can reach
- * @model: its name
- * @engines: each with its &struct sidecar_link
+ * struct rollout - one model's engines whose sidecars are connected
+ * @model: name of the model
+ * @engines: their candidates; the context is the &struct sidecar_link
  * @count: number of @engines
- * @wanted: newest version
+ * @target_version: newest version
  */
 struct rollout {
     const char *model;
     struct pgw_rollout_candidate *engines;
     size_t count;
-    uint64_t wanted;
+    uint64_t target_version;
 };
 
 /*
- * Failure: an engine stands still in the middle of its load, or its sidecar
- * gets no answer to the order. Symptom: it takes its place in the window for
- * good, and with a few of them no other engine loads. After four times the
- * usual time, and five seconds at least, it is no longer waited for.
+ * Failure: an engine hangs in the middle of its load, or its sidecar gets no
+ * answer to the order. Symptom: it occupies the window forever, and with a few
+ * such engines no other engine loads. After four times the expected time, and
+ * at least five seconds, it no longer counts as loading.
  */
 static bool
-is_under_way(const struct pgw_sidecar_links *links,
-             const struct pgw_upstream *upstream)
+is_loading(const struct pgw_sidecar_links *links,
+           const struct pgw_upstream *upstream)
 {
-    uint64_t limit = MAX(4 * pgw_weights_load_times_expected_us(&links->pace),
-                         UNDER_WAY_LEAST_US);
+    uint64_t limit =
+        MAX(4 * pgw_weights_load_times_expected_us(&links->load_times),
+            LOAD_TIMEOUT_MIN_US);
 
     return upstream->loads_since_us > 0 &&
            pgw_now_us() - upstream->loads_since_us < limit;
 }
 
-/* Whether its engine can load now, if it is told to. */
+/* Whether the engine can start to load when it is selected, or is loading. */
 static bool
-is_reached(const struct sidecar_link *guard,
-           const struct pgw_upstream *upstream)
+can_load(const struct sidecar_link *link, const struct pgw_upstream *upstream)
 {
-    return guard->link != NULL && !guard->on_request && upstream != NULL &&
+    return link->connection != NULL && !link->probe_only && upstream != NULL &&
            upstream->guarded && !upstream->leaving && !upstream->removed &&
            !upstream->displaced &&
            (!upstream->loading || upstream->loads_since_us > 0);
 }
 
 static void
-add_engine(struct rollout *rollout, struct sidecar_link *guard,
-           const struct pgw_upstream *upstream)
+add_candidate(struct rollout *rollout, struct sidecar_link *link,
+              const struct pgw_upstream *upstream)
 {
-    const struct pgw_sidecar_links *links = guard->links;
+    const struct pgw_sidecar_links *links = link->links;
     uint64_t version = pgw_upstream_version(upstream, rollout->model);
 
     rollout->engines[rollout->count++] = (struct pgw_rollout_candidate){
-        .rank = place_of(upstream, rollout->wanted),
+        .rank = rollout_rank(upstream, rollout->target_version),
         .version = version,
-        .loading = is_under_way(links, upstream),
-        .context = guard,
+        .loading = is_loading(links, upstream),
+        .context = link,
     };
 }
 
 /*
- * A gain: engines that are about to load get no long runs, so that they are
- * away for the load alone: an engine ends its runs before it loads.
+ * Engines that start next get no long runs: an engine finishes its runs before
+ * it loads, so without them it is unavailable only for the load itself.
  */
 static void
-tell_window(struct pgw_sidecar_links *links, const struct rollout *rollout)
+apply_window(struct pgw_sidecar_links *links, const struct rollout *rollout)
 {
     for (size_t i = 0; i < rollout->count; i++) {
         const struct pgw_rollout_candidate *engine = &rollout->engines[i];
-        struct sidecar_link *guard = engine->context;
+        struct sidecar_link *link = engine->context;
         struct pgw_upstream *upstream =
-            pgw_sidecar_link_upstream(links, guard->engine);
+            pgw_sidecar_link_upstream(links, link->engine);
         size_t model = index_of_model(upstream, rollout->model);
 
         upstream->loads_next = engine->starts_next;
-        if (engine->may_start && guard->told[model] != rollout->wanted) {
-            guard->told[model] = rollout->wanted;
-            tell_weights(guard, upstream, rollout->model, rollout->wanted, 0);
+        if (engine->may_start &&
+            link->start_sent[model] != rollout->target_version) {
+            link->start_sent[model] = rollout->target_version;
+            send_target_version(link, upstream, rollout->model,
+                                rollout->target_version, 0);
         }
     }
 }
 
-/* Returns how many engines load at once, 0: all have loaded. */
+/* Selects the engines of a model that may load. Returns the size of the
+ * window, 0: all run the target version. */
 static unsigned
-open_window(struct pgw_sidecar_links *links, const char *model,
-            uint64_t wanted)
+update_window(struct pgw_sidecar_links *links, const char *model,
+              uint64_t target_version)
 {
     struct pgw_rollout_window_options options =
         PGW_ROLLOUT_WINDOW_OPTIONS_INIT;
@@ -183,7 +191,7 @@
         .model = model,
         .engines = g_new0(struct pgw_rollout_candidate,
                           g_hash_table_size(links->by_engine)),
-        .wanted = wanted,
+        .target_version = target_version,
     };
     GHashTableIter iter;
     void *value;
@@ -195,66 +203,64 @@
     }
     g_hash_table_iter_init(&iter, links->by_engine);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct sidecar_link *guard = value;
+        struct sidecar_link *link = value;
         const struct pgw_upstream *upstream =
-            pgw_sidecar_link_upstream(links, guard->engine);
+            pgw_sidecar_link_upstream(links, link->engine);
 
-        if (is_reached(guard, upstream) &&
+        if (can_load(link, upstream) &&
             index_of_model(upstream, model) < upstream->model_count) {
-            add_engine(&rollout, guard, upstream);
+            add_candidate(&rollout, link, upstream);
         }
     }
-    size = pgw_rollout_window_select(rollout.engines, rollout.count, wanted,
-                                     &options);
-    tell_window(links, &rollout);
+    size = pgw_rollout_window_select(rollout.engines, rollout.count,
+                                     target_version, &options);
+    apply_window(links, &rollout);
     g_free(rollout.engines);
     return size;
 }
 
 static void
-open_windows(struct pgw_sidecar_links *links)
+update_windows(struct pgw_sidecar_links *links)
 {
-    unsigned widest = 0;
+    unsigned size_max = 0;
     GHashTableIter iter;
     void *model;
 
     g_hash_table_iter_init(&iter, pgw_gateway_models(links->gateway));
     while (g_hash_table_iter_next(&iter, &model, NULL)) {
-        unsigned size = open_window(
+        unsigned size = update_window(
             links, model, pgw_gateway_weights(links->gateway, model));
 
-        widest = MAX(widest, size);
+        size_max = MAX(size_max, size);
     }
-    pgw_metric_gauge_set(&window_size, widest);
-    pgw_metric_gauge_set(&load_expected_ms,
-                         pgw_weights_load_times_expected_us(&links->pace) /
-                             1000);
-    if (widest > 0) {
-        /* An engine that stands still is not waited for without end. */
-        pgw_timer_start(links->loop, &links->window_timer, WINDOW_US);
+    pgw_metric_gauge_set(&window_size, size_max);
+    pgw_metric_gauge_set(
+        &load_expected_ms,
+        pgw_weights_load_times_expected_us(&links->load_times) / 1000);
+    if (size_max > 0) {
+        /* Engines whose load hangs leave the window without any event. */
+        pgw_timer_start(links->loop, &links->window_timer, WINDOW_INTERVAL_US);
     }
 }
 
 static void
-window_due(struct pgw_timer *timer)
+on_window_timer(struct pgw_timer *timer)
 {
-    open_windows(
+    update_windows(
         pgw_container_of(timer, struct pgw_sidecar_links, window_timer));
 }
 
-/* Once for all that comes in a turn of the loop. */
 void
 pgw_sidecar_links_rollout_schedule(struct pgw_sidecar_links *links)
 {
     pgw_timer_start(links->loop, &links->window_timer, 0);
 }
 
-/* The weights that its engine runs, and whether it is away for others. */
 void
-pgw_sidecar_links_rollout_take_state(struct pgw_sidecar_links *links,
-                                     struct pgw_upstream *upstream,
-                                     const Pgw__EngineState *state,
-                                     uint64_t now_us)
+pgw_sidecar_links_rollout_apply_report(struct pgw_sidecar_links *links,
+                                       struct pgw_upstream *upstream,
+                                       const Pgw__EngineState *state,
+                                       uint64_t now_us)
 {
     bool loads = state->alive && state->loading;
     bool newer = false;
@@ -266,10 +272,11 @@
                                  state->models[i]->version);
     }
     if (!loads && newer && upstream->loads_since_us > 0) {
-        pgw_weights_load_times_add(&links->pace,
+        pgw_weights_load_times_add(&links->load_times,
                                    now_us - upstream->loads_since_us);
-        pgw_gateway_set_load(links->gateway,
-                             pgw_weights_load_times_expected_us(&links->pace));
+        pgw_gateway_set_load(
+            links->gateway,
+            pgw_weights_load_times_expected_us(&links->load_times));
     }
     if (newer || loads != (upstream->loads_since_us > 0)) {
         pgw_sidecar_links_rollout_schedule(links);
@@ -285,7 +292,7 @@
 void
 pgw_sidecar_links_rollout_init(struct pgw_sidecar_links *links)
 {
-    links->window_timer.on_due = window_due;
+    links->window_timer.on_due = on_window_timer;
     pgw_metric_register_gauge(&window_size);
     pgw_metric_register_gauge(&load_expected_ms);
 }
--- a/tests/unit/test_sidecar_links.c
+++ b/tests/unit/test_sidecar_links.c
@@ -5,19 +5,19 @@
 #include "util/log.h"
 #include <string.h>
 
-/* Nobody listens there. */
-#define PORT 9
+/* No process listens on this port. */
+#define UNUSED_PORT 9
 #define LATER_US UINT64_C(10000000)
-/* For so long the entry may take what the sidecar sends. */
+/* Time for the entry to receive what the sidecar sends. */
 #define RUN_US 500000
 
 /**
- * struct stage - an entry's links to sidecars
- * @sidecar: listens as that of one engine; NULL: none is ever reached
- * @link: what has connected to it
+ * struct fixture - an entry's links to sidecars
+ * @sidecar: listener of one engine's simulated sidecar; NULL: no sidecar runs
+ * @link: the entry's connection to it
  * @timer: ends the loop after the sidecar has sent its reports
  */
-struct stage {
+struct fixture {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
     struct pgw_sidecar_links *links;
@@ -27,7 +27,7 @@
 };
 
 static void
-open_stage(struct stage *stage, uint16_t port)
+open_fixture(struct fixture *fixture, uint16_t port)
 {
     struct pgw_gateway_options options = {
         .instance = "entry",
@@ -39,22 +39,23 @@
     };
 
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
-    stage->gateway = pgw_gateway_new(stage->loop, &options, NULL);
-    g_assert_nonnull(stage->gateway);
-    stage->links = pgw_sidecar_links_new(stage->loop, stage->gateway, port);
+    fixture->gateway = pgw_gateway_new(fixture->loop, &options, NULL);
+    g_assert_nonnull(fixture->gateway);
+    fixture->links =
+        pgw_sidecar_links_new(fixture->loop, fixture->gateway, port);
 }
 
 static void
-close_stage(struct stage *stage)
+close_fixture(struct fixture *fixture)
 {
-    pgw_sidecar_links_free(stage->links);
-    pgw_gateway_free(stage->gateway);
-    pgw_loop_free(stage->loop);
+    pgw_sidecar_links_free(fixture->links);
+    pgw_gateway_free(fixture->gateway);
+    pgw_loop_free(fixture->loop);
 }
 
-/* Lists @count engines from @from on, each fifth in the entry's own zone. */
+/* Lists @count engines from @from on, every fifth in the local zone. */
 static void
-list_engines(struct stage *stage, unsigned from, unsigned count)
+list_engines(struct fixture *fixture, unsigned from, unsigned count)
 {
     for (unsigned i = from; i < from + count; i++) {
         char id[16];
@@ -71,35 +72,36 @@
 
         g_snprintf(id, sizeof(id), "e%u", i);
         g_snprintf(address, sizeof(address), "127.0.0.1:%u", 10000 + i);
-        pgw_upstream_table_put(pgw_gateway_upstreams(stage->gateway), &facts);
+        pgw_upstream_table_put(pgw_gateway_upstreams(fixture->gateway),
+                               &facts);
     }
-    pgw_sidecar_links_refresh(stage->links);
+    pgw_sidecar_links_refresh(fixture->links);
 }
 
 static void
-see_all(struct stage *stage, uint64_t now_us)
+mark_all_seen(struct fixture *fixture, uint64_t now_us)
 {
-    pgw_list_foreach (
-        item, pgw_upstream_table_all(pgw_gateway_upstreams(stage->gateway))) {
+    pgw_list_foreach (item, pgw_upstream_table_all(
+                                pgw_gateway_upstreams(fixture->gateway))) {
         pgw_upstream_note_seen(
             pgw_container_of(item, struct pgw_upstream, in_table), now_us);
     }
 }
 
-/* Guards against engines of other zones that count as suspended once their
- * pool has grown so large that their sidecars send no more reports. */
+/* Engines of other zones must not count as unresponsive when the pool has
+ * grown so large that their sidecars stop sending reports. */
 static void
 test_pool_grows(void)
 {
-    struct stage stage = {.loop = pgw_loop_new(NULL)};
+    struct fixture fixture = {.loop = pgw_loop_new(NULL)};
     uint64_t now = pgw_now_us();
 
-    open_stage(&stage, PORT);
-    list_engines(&stage, 0, 100);
-    see_all(&stage, now);
-    list_engines(&stage, 100, 60);
+    open_fixture(&fixture, UNUSED_PORT);
+    list_engines(&fixture, 0, 100);
+    mark_all_seen(&fixture, now);
+    list_engines(&fixture, 100, 60);
     pgw_list_foreach (
-        item, pgw_upstream_table_all(pgw_gateway_upstreams(stage.gateway))) {
+        item, pgw_upstream_table_all(pgw_gateway_upstreams(fixture.gateway))) {
         const struct pgw_upstream *upstream =
             pgw_container_of(item, struct pgw_upstream, in_table);
 
@@ -112,26 +114,26 @@
                             ==, PGW_UNRESPONSIVE);
         }
     }
-    close_stage(&stage);
+    close_fixture(&fixture);
 }
 
 static bool
 on_frame(struct pgw_link *link, enum pgw_frame_type type,
          ProtobufCMessage *message, void *context)
 {
-    Pgw__EngineState other = PGW__ENGINE_STATE__INIT;
-    Pgw__EngineState nameless = PGW__ENGINE_STATE__INIT;
-    struct stage *stage = context;
+    Pgw__EngineState other_engine = PGW__ENGINE_STATE__INIT;
+    Pgw__EngineState without_address = PGW__ENGINE_STATE__INIT;
+    struct fixture *fixture = context;
 
     (void)message;
     if (type == PGW_FRAME_HELLO) {
-        other.address = (char *)"127.0.0.1:1";
-        other.alive = true;
-        nameless.alive = true;
-        nameless.running = 6;
-        pgw_link_send(link, PGW_FRAME_ENGINE_STATE, &other.base);
-        pgw_link_send(link, PGW_FRAME_ENGINE_STATE, &nameless.base);
-        pgw_timer_start(stage->loop, &stage->timer, RUN_US);
+        other_engine.address = (char *)"127.0.0.1:1";
+        other_engine.alive = true;
+        without_address.alive = true;
+        without_address.running = 6;
+        pgw_link_send(link, PGW_FRAME_ENGINE_STATE, &other_engine.base);
+        pgw_link_send(link, PGW_FRAME_ENGINE_STATE, &without_address.base);
+        pgw_timer_start(fixture->loop, &fixture->timer, RUN_US);
     }
     return false;
 }
@@ -139,14 +141,14 @@
 static void
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
-    struct stage *stage = context;
+    struct fixture *fixture = context;
 
     (void)link;
     (void)error;
-    stage->link = NULL;
+    fixture->link = NULL;
 }
 
-static const struct pgw_link_ops ops = {
+static const struct pgw_link_ops link_ops = {
     .on_frame = on_frame,
     .on_closed = on_closed,
 };
@@ -154,41 +156,42 @@
 static void
 on_accept(int fd, void *context)
 {
-    struct stage *stage = context;
+    struct fixture *fixture = context;
 
-    stage->link = pgw_link_accept(stage->loop, fd, &ops, stage, NULL);
+    fixture->link =
+        pgw_link_accept(fixture->loop, fd, &link_ops, fixture, NULL);
 }
 
 static void
-stop_due(struct pgw_timer *timer)
+on_stop_timer(struct pgw_timer *timer)
 {
-    pgw_loop_stop(pgw_container_of(timer, struct stage, timer)->loop);
+    pgw_loop_stop(pgw_container_of(timer, struct fixture, timer)->loop);
 }
 
-/* Guards against a sidecar of another engine whose reports, once they name no
- * engine, count for the one that it was taken for. */
+/* Reports of another engine's sidecar must not be applied to the linked
+ * engine, also when they carry no address. */
 static void
 test_other_engines_sidecar(void)
 {
-    struct stage stage = {.loop = pgw_loop_new(NULL),
-                          .timer = {.on_due = stop_due}};
+    struct fixture fixture = {.loop = pgw_loop_new(NULL),
+                              .timer = {.on_due = on_stop_timer}};
     struct pgw_address address;
     const struct pgw_upstream *upstream;
 
     g_assert_true(pgw_address_parse(&address, "127.0.0.1:0", NULL));
-    stage.sidecar =
-        pgw_listener_new(stage.loop, &address, on_accept, &stage, NULL);
-    open_stage(&stage, pgw_listener_port(stage.sidecar));
-    list_engines(&stage, 0, 1);
-    pgw_loop_run(stage.loop);
-    g_assert_nonnull(stage.link);
+    fixture.sidecar =
+        pgw_listener_new(fixture.loop, &address, on_accept, &fixture, NULL);
+    open_fixture(&fixture, pgw_listener_port(fixture.sidecar));
+    list_engines(&fixture, 0, 1);
+    pgw_loop_run(fixture.loop);
+    g_assert_nonnull(fixture.link);
     upstream =
-        pgw_upstream_table_find(pgw_gateway_upstreams(stage.gateway), "e0");
+        pgw_upstream_table_find(pgw_gateway_upstreams(fixture.gateway), "e0");
     g_assert_false(upstream->guarded);
     g_assert_cmpuint(upstream->load.running, ==, 0);
-    pgw_link_close(stage.link);
-    pgw_listener_free(stage.sidecar);
-    close_stage(&stage);
+    pgw_link_close(fixture.link);
+    pgw_listener_free(fixture.sidecar);
+    close_fixture(&fixture);
 }
 
 int
@@ -196,7 +199,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/guard_links/pool_grows", test_pool_grows);
-    g_test_add_func("/guard_links/other_engine", test_other_engines_sidecar);
+    g_test_add_func("/sidecar_links/pool_grows", test_pool_grows);
+    g_test_add_func("/sidecar_links/other_engine", test_other_engines_sidecar);
     return g_test_run();
 }
