--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -135,7 +135,7 @@
             pgw_gateway_crash_quarantine(link->links->gateway), upstream->id,
             now);
     }
-    pgw_gateway_pump(link->links->gateway);
+    pgw_gateway_dispatch_queued(link->links->gateway);
 }
 
 static bool
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -80,13 +80,13 @@
     }
     for (size_t i = 0; i < upstream->model_count; i++) {
         const char *model = upstream->models[i].model;
-        uint64_t version = pgw_gateway_weights(links->gateway, model);
+        uint64_t version = pgw_gateway_target_version(links->gateway, model);
         uint64_t usable_us;
 
         if (version == 0) {
             continue;
         }
-        usable_us = pgw_gateway_weights_left(
+        usable_us = pgw_gateway_weights_usable_for_us(
             links->gateway, model, version_before_load(upstream, i, version));
         send_target_version(link, upstream, model, version,
                             usable_us == UINT64_MAX
@@ -226,10 +226,10 @@
     GHashTableIter iter;
     void *model;
 
-    g_hash_table_iter_init(&iter, pgw_gateway_models(links->gateway));
+    g_hash_table_iter_init(&iter, pgw_gateway_target_models(links->gateway));
     while (g_hash_table_iter_next(&iter, &model, NULL)) {
         unsigned size = update_window(
-            links, model, pgw_gateway_weights(links->gateway, model));
+            links, model, pgw_gateway_target_version(links->gateway, model));
 
         size_max = MAX(size_max, size);
     }
@@ -274,7 +274,7 @@
     if (!loads && newer && upstream->loads_since_us > 0) {
         pgw_weights_load_times_add(&links->load_times,
                                    now_us - upstream->loads_since_us);
-        pgw_gateway_set_load(
+        pgw_gateway_set_weights_loading_time(
             links->gateway,
             pgw_weights_load_times_expected_us(&links->load_times));
     }
--- a/tests/unit/test_engine_sidecar.c
+++ b/tests/unit/test_engine_sidecar.c
@@ -180,10 +180,10 @@
 
     open_fixture();
     engine.listener = fixture->engine;
-    scene_engine_play(&engine, is_reported);
+    scene_engine_serve(&engine, is_reported);
     target_task.run = set_target;
     pgw_loop_post(fixture->loop, &target_task);
-    scene_engine_play(&engine, is_ordered);
+    scene_engine_serve(&engine, is_ordered);
     g_assert_true(entry_received(1, true));
     g_assert_nonnull(strstr(engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(engine.order, "\"fence\":41"));
@@ -191,7 +191,7 @@
     g_assert_nonnull(strstr(engine.order, "\"method\":\"block\""));
     engine.version = 2;
     engine.sequence = 4;
-    scene_engine_play(&engine, is_reported_available);
+    scene_engine_serve(&engine, is_reported_available);
     g_assert_cmpuint(engine.orders, ==, 1);
     g_assert_cmpuint(fixture->tokens, ==, 1);
     g_free(engine.order);
@@ -218,16 +218,16 @@
 
     open_fixture();
     engine.listener = fixture->engine;
-    scene_engine_play(&engine, is_reported);
+    scene_engine_serve(&engine, is_reported);
     target_task.run = set_target;
     pgw_loop_post(fixture->loop, &target_task);
-    scene_engine_play(&engine, is_ordered);
+    scene_engine_serve(&engine, is_ordered);
     engine.started_ms = 2000;
     engine.sequence = 0;
     /* Busy with something else: if the restart went unnoticed, the engine
      * would seem busy with the first order. */
     engine.busy = true;
-    scene_engine_play(&engine, is_ordered_again);
+    scene_engine_serve(&engine, is_ordered_again);
     g_assert_nonnull(strstr(engine.order, "\"expect\":0"));
     g_free(engine.order);
     close_fixture();
@@ -288,10 +288,10 @@
 
     open_fixture();
     engine.listener = fixture->engine;
-    scene_engine_play(&engine, is_reported);
+    scene_engine_serve(&engine, is_reported);
     probe_task.run = announce_and_probe;
     pgw_loop_post(fixture->loop, &probe_task);
-    scene_engine_play(&engine, is_answered);
+    scene_engine_serve(&engine, is_answered);
     g_assert_cmpuint(fixture->probe_answer.unread, ==, 6000);
     g_assert_cmpuint(fixture->probe_answer.part, ==, 1);
     close_fixture();
