--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -3,34 +3,34 @@
 #include "util/log.h"
 #include "util/metric.h"
 
-/* How often one request is offered in all, refusals by upstreams included. */
+/* Most attempts of one request, including those that an upstream refuses. */
 #define SENDS_MAX 5
 
-static struct pgw_metric_counter repeats = {
+static struct pgw_metric_counter retries = {
     .name = "pgw_gateway_repeats_total",
-    .help = "Requests sent once more",
+    .help = "Retries of requests",
 };
 
-/* A sidecar sees neither when a prompt has been read that its engine does not
- * list meanwhile, nor that it was given up. */
+/* A sidecar cannot tell that a prompt was prefilled between two reports of its
+ * engine, or that the request was cancelled. The entry announces both. */
 static void
 end_announcement(struct pgw_exchange *exchange)
 {
     const struct pgw_gateway *gateway = exchange->gateway;
 
-    if (exchange->announced && gateway->sidecars != NULL) {
-        struct pgw_announcement over = {
+    if (exchange->prefill_is_announced && gateway->sidecars != NULL) {
+        struct pgw_announcement end = {
             .request = pgw_announced_prompts_id(exchange->facts.id),
         };
 
         gateway->sidecars->announce(gateway->sidecars_context,
-                                    exchange->upstream, &over);
+                                    exchange->upstream, &end);
     }
-    exchange->announced = false;
+    exchange->prefill_is_announced = false;
 }
 
 void
-pgw_attempt_end_prefill(struct pgw_exchange *exchange)
+pgw_attempt_count_prefill_end(struct pgw_exchange *exchange)
 {
     struct pgw_upstream *upstream = exchange->upstream;
 
@@ -41,7 +41,7 @@
 }
 
 void
-pgw_attempt_leave(struct pgw_exchange *exchange)
+pgw_attempt_count_end(struct pgw_exchange *exchange)
 {
     struct pgw_upstream *upstream = exchange->upstream;
 
@@ -49,16 +49,16 @@
         return;
     }
     upstream->inflight--;
-    upstream->inflight_tokens -= exchange->counted_tokens;
-    pgw_attempt_end_prefill(exchange);
-    exchange->counted_tokens = 0;
+    upstream->inflight_tokens -= exchange->reserved_tokens;
+    pgw_attempt_count_prefill_end(exchange);
+    exchange->reserved_tokens = 0;
     exchange->upstream = NULL;
     pgw_upstream_unref(upstream);
 }
 
 void
-pgw_attempt_enter(struct pgw_exchange *exchange,
-                  const struct pgw_choice *choice)
+pgw_attempt_count_start(struct pgw_exchange *exchange,
+                        const struct pgw_choice *choice)
 {
     struct pgw_upstream *upstream = pgw_upstream_ref(choice->upstream);
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
@@ -66,19 +66,21 @@
     pgw_upstream_probe(upstream, pgw_now_us());
     exchange->upstream = upstream;
     exchange->missing_tokens = choice->missing_tokens;
-    exchange->load_seen = pgw_upstream_load_estimate(upstream, pgw_now_us());
-    exchange->load_age_us =
+    exchange->load_at_choice =
+        pgw_upstream_load_estimate(upstream, pgw_now_us());
+    exchange->load_report_age_us =
         upstream->load_at_us == 0 ? 0 : pgw_now_us() - upstream->load_at_us;
     upstream->inflight++;
     if (exchange->facts.model != NULL) {
-        uint32_t own = prompt->part_count == 0
-                           ? prompt->tokens
-                           : prompt->parts[prompt->part_count - 1].tokens;
+        uint32_t unshared_tokens =
+            prompt->part_count == 0
+                ? prompt->tokens
+                : prompt->parts[prompt->part_count - 1].tokens;
 
-        exchange->counted_tokens = prompt->tokens + prompt->output_tokens;
-        exchange->prefill_tokens = own + choice->missing_tokens;
+        exchange->reserved_tokens = prompt->tokens + prompt->output_tokens;
+        exchange->prefill_tokens = unshared_tokens + choice->missing_tokens;
     }
-    upstream->inflight_tokens += exchange->counted_tokens;
+    upstream->inflight_tokens += exchange->reserved_tokens;
     upstream->prefill_tokens += exchange->prefill_tokens;
     upstream->long_prefills += exchange->prefill_tokens >= PGW_LONG_PREFILL;
     if (exchange->tried_count < PGW_TRIED_MAX) {
@@ -87,28 +89,28 @@
 }
 
 void
-pgw_attempt_note(struct pgw_exchange *exchange, enum pgw_attempt_result result)
+pgw_attempt_record_result(struct pgw_exchange *exchange,
+                          enum pgw_attempt_result result)
 {
     pgw_upstream_note(exchange->upstream, result, pgw_now_us());
 }
 
-/* Whether the request may be sent to another upstream although this one may
- * have run it. */
 bool
-pgw_attempt_may_repeat(const struct pgw_exchange *exchange)
+pgw_attempt_may_retry(const struct pgw_exchange *exchange)
 {
     const struct pgw_route *route = exchange->route;
 
     if (exchange->runs >= MAX(route->max_attempts, 1) ||
-        pgw_crash_quarantine_is_active(exchange->gateway->poison,
+        pgw_crash_quarantine_is_active(exchange->gateway->crash_quarantine,
                                        &exchange->fingerprint, pgw_now_us())) {
         return false;
     }
 #ifndef PGW_DISABLE_GATEWAY_ONCE
     /*
-     * Failure: an upstream takes a request and breaks off. Symptom when it is
-     * sent again: a record is written twice. Only the route says what may be
-     * repeated, and only streams that may be resumed go on elsewhere.
+     * Failure: an upstream accepts a request and its connection breaks.
+     * Symptom if the request is retried: a record is written twice. Only a
+     * route that is marked repeatable allows a retry, and only a stream of a
+     * resumable route is resumed at another upstream.
      */
     return route->stream ? route->resumable : route->repeatable;
 #else
@@ -117,15 +119,15 @@
 }
 
 bool
-pgw_attempt_take_repeat(struct pgw_exchange *exchange)
+pgw_attempt_take_retry(struct pgw_exchange *exchange)
 {
     if (exchange->sends >= SENDS_MAX || exchange->caller == NULL ||
         !pgw_retry_budgets_withdraw(exchange->gateway->budgets,
                                     exchange->service)) {
         return false;
     }
-    pgw_metric_register_counter(&repeats);
-    pgw_metric_counter_add(&repeats, 1);
+    pgw_metric_register_counter(&retries);
+    pgw_metric_counter_add(&retries, 1);
     return true;
 }
 
@@ -141,48 +143,48 @@
 }
 
 static void
-reset_answer(struct pgw_exchange *exchange)
+discard_answer(struct pgw_exchange *exchange)
 {
     pgw_buffer_dispose(&exchange->answer);
     exchange->status = 0;
     exchange->not_run = false;
     exchange->is_stream = false;
-    pgw_event_stream_restart(&exchange->events);
+    pgw_event_stream_discard_partial(&exchange->events);
 }
 
 void
-pgw_attempt_give_up(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_abandon(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     exchange->may_have_run = true;
     pgw_exchange_refuse(exchange, 502, why, 0);
 }
 
 void
-pgw_attempt_repeat(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_retry(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
     exchange->may_have_run = true;
-    pgw_attempt_leave(exchange);
-    reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    pgw_attempt_count_end(exchange);
+    discard_answer(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
-/* Nobody ran it: another upstream may, within the budget. */
 void
-pgw_attempt_not_run(struct pgw_exchange *exchange, const char *why,
-                    bool arrived)
+pgw_attempt_handle_not_run(struct pgw_exchange *exchange, const char *why,
+                           bool arrived)
 {
     log_attempt(exchange, why);
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     if (exchange->caller == NULL) {
         pgw_exchange_finish(exchange, "caller_gone");
         return;
     }
-    /* What did not arrive anywhere costs no upstream anything. */
-    if (arrived ? !pgw_attempt_take_repeat(exchange)
+    /* A request that reached no upstream costs none of them any work, so its
+     * retry does not count against the budget. */
+    if (arrived ? !pgw_attempt_take_retry(exchange)
                 : exchange->sends >= SENDS_MAX) {
         if (exchange->phase == PGW_PHASE_RELAYING || exchange->may_have_run) {
             pgw_exchange_refuse(exchange, 502, "upstream_lost", 0);
@@ -192,27 +194,26 @@
         }
         return;
     }
-    reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    discard_answer(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
-/* The outcome at this upstream is not known. */
 void
-pgw_attempt_unknown(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_handle_unknown(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
     exchange->may_have_run = true;
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     if (exchange->caller == NULL) {
         pgw_exchange_finish(exchange, "caller_gone");
         return;
     }
-    if (!pgw_attempt_may_repeat(exchange) ||
-        !pgw_attempt_take_repeat(exchange)) {
+    if (!pgw_attempt_may_retry(exchange) ||
+        !pgw_attempt_take_retry(exchange)) {
         pgw_exchange_refuse(exchange, 502, "upstream_lost", 0);
         return;
     }
-    reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    discard_answer(exchange);
+    pgw_exchange_dispatch(exchange);
 }
--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -8,23 +8,23 @@
 #include <stdbool.h>
 
 /**
- * DOC: What a deployment's callers and upstreams speak
+ * DOC: Encoding of a deployment's HTTP messages
  *
- * The gateway knows what the fields of a request mean, the codec knows how
- * they are spelled. A deployment brings one table of these functions.
+ * The gateway knows the meaning of the fields of a request, the codec knows
+ * their names and formats. A deployment provides one table of these functions.
  */
 
 /**
  * struct pgw_request_facts - what the gateway needs of a caller's request
- * @id: the caller's name for this attempt; echoed by upstreams
- * @host: which host it asks for
- * @key: the caller's key, NULL without one
- * @deadline_ms: how long the caller waits, 0: not said
- * @model: model's name, NULL for a plain call
+ * @id: the caller's id of this attempt; upstreams echo it
+ * @host: requested host
+ * @key: the caller's API key, NULL without one
+ * @deadline_ms: how long the caller waits, 0: not stated
+ * @model: name of the model, NULL for a request to a plain service
  * @prompt: parts of the prompt
- * @has_tokens: the sizes of prompt and answer were sent
- * @resume_after: the caller has events up to this one
- * @has_resume: @resume_after was sent
+ * @has_tokens: the caller stated the sizes of prompt and answer
+ * @resume_after: id of the last event that the caller has
+ * @has_resume: @resume_after is set
  */
 struct pgw_request_facts {
     const char *id;
@@ -38,22 +38,22 @@
     bool has_resume;
 };
 
-/* Urgencies that engines tell apart. */
+/* Priorities that engines distinguish. */
 #define PGW_PRIORITIES 10
 
 /**
- * struct pgw_forward - a request on its way to an upstream
+ * struct pgw_forward - a request as it is sent to an upstream
  * @head: the caller's head
  * @body: the whole body
  * @body_size: its size in bytes
  * @instance: the incarnation that may run it
  * @workspace: the key's workspace, NULL without one
- * @deadline_ms: what is left
- * @priority: below %PGW_PRIORITIES, 0 first; -1: not said
- * @cache_salt: text under which prompt parts are cached, NULL: none
- * @weights: version that must compute the answer, 0: any
- * @fetch_from: "IP:PORT" that holds parts of the prompt, NULL: nobody
- * @save_to: "IP:PORT" that keeps parts, NULL: nobody
+ * @deadline_ms: time left until the deadline
+ * @priority: below %PGW_PRIORITIES, 0 is the most urgent; -1: not sent
+ * @cache_salt: salt of the cache keys of the prompt's parts, NULL: none
+ * @weights: version of the weights that must run it, 0: any
+ * @fetch_from: "IP:PORT" from which to fetch cached parts, NULL: none
+ * @save_to: "IP:PORT" of the store to which to save parts, NULL: none
  * @resume_after: id of the last event that the caller has
  * @has_resume: @resume_after is set
  */
@@ -75,14 +75,14 @@
 
 /**
  * struct pgw_answer_facts - what the gateway needs of an upstream's head
- * @id: the attempt that it answers, NULL: not said
- * @genuine: it bears the mark of an upstream's own answer
+ * @id: id of the attempt that it answers, NULL: not stated
+ * @genuine: the head carries the field that marks an upstream's own answer
  * @not_run: the upstream states that it did not run the request
- * @instance: incarnation that answered, NULL: not said
+ * @instance: incarnation that answered, NULL: not stated
  * @has_load: @load is set
- * @load: its load
- * @weights: version that computes the answer, 0: not said
- * @is_stream: the body is a series of events
+ * @load: the upstream's load
+ * @weights: version of the weights that run it, 0: not stated
+ * @is_stream: the body is a stream of events
  */
 struct pgw_answer_facts {
     const char *id;
@@ -96,9 +96,9 @@
 };
 
 /**
- * struct pgw_codec - one deployment's spelling
- * @read_request: decode a caller's head; false: it is not proper. Texts point
- *   into the head
+ * struct pgw_codec - encoding and decoding of one deployment's messages
+ * @read_request: decode a caller's head; false: it is malformed. The decoded
+ *   strings point into the head
  * @write_request: append the whole request as it goes to an upstream
  * @read_answer: decode an upstream's head
  * @keep_answer_field: whether callers get this field of an upstream's head
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -4,54 +4,56 @@
 #include "util/random.h"
 #include <string.h>
 
-/* When a caller may send a request again that crashes its upstreams: after the
- * longest time that any caller waits, so that it is not sent again in vain. */
-#define POISON_RETRY_MS 30000
-/* The least time that is worth starting an attempt with. */
-#define LEAST_TIME_US 5000
+/* When a caller may resend a request that crashes its upstreams. This is the
+ * longest time that any caller waits: an earlier retry would be refused too.
+ */
+#define CRASH_QUARANTINE_RETRY_MS 30000
+/* No attempt is started with less time than this before the deadline. */
+#define MIN_ATTEMPT_TIME_US 5000
 /* Bytes of a request's head and of a short answer. */
-#define HEAD_SIZE_GUESS 1200
-/* When to come back after a refusal: about one generation's time. */
-#define RETRY_AFTER_MS 250
-/* A process that has no configuration yet has one after a second. */
+#define HEAD_SIZE_ESTIMATE 1200
+/* When a caller may retry if no slot was free: about the time of one
+ * generation. */
+#define NO_SLOT_RETRY_MS 250
+/* A process without a configuration gets one within a second. */
 #define NO_CONFIG_RETRY_MS 400
 
-/* Microseconds that pass for each token of a prompt before it begins to run on
- * an engine that is busy while all others load. An engine whose weights will
+/* Time for each token of a prompt until the prompt starts to run on an engine
+ * that is busy because all others load weights. An engine whose weights will
  * be too old by then is not used. */
 #define OLD_WEIGHTS_TOKEN_US 100ULL
-/* Priorities of routes that are told apart within one of workspaces. */
+/* Route priorities that are distinguished within one workspace priority. */
 #define ROUTE_RANKS 3
 
 static struct pgw_metric_counter requests = {
     .name = "pgw_gateway_requests_total",
-    .help = "Requests that were read whole",
+    .help = "Requests that were received completely",
 };
-static struct pgw_metric_counter refused = {
+static struct pgw_metric_counter refusals = {
     .name = "pgw_gateway_refused_total",
-    .help = "Requests that the gateway answered itself",
+    .help = "Requests that the gateway answered with an error of its own",
 };
-static struct pgw_metric_counter poisonous = {
+static struct pgw_metric_counter quarantined = {
     .name = "pgw_gateway_poison_refused_total",
-    .help = "Requests refused since they were running in several crashes",
+    .help = "Requests refused because they were running in several crashes",
 };
-static struct pgw_metric_gauge waiting_now = {
+static struct pgw_metric_gauge queued_now = {
     .name = "pgw_gateway_waiting",
-    .help = "Requests that wait for a place at an upstream",
+    .help = "Requests that are queued for a free slot at an upstream",
 };
-static struct pgw_metric_histogram first_answer = {
+static struct pgw_metric_histogram first_answer_time = {
     .name = "pgw_gateway_first_answer_seconds",
-    .help = "From a request's first byte to the first byte of its answer",
+    .help = "Time from a request's first byte to the first byte of its answer",
 };
 
 static void
 register_metrics(void)
 {
     pgw_metric_register_counter(&requests);
-    pgw_metric_register_counter(&refused);
-    pgw_metric_register_counter(&poisonous);
-    pgw_metric_register_gauge(&waiting_now);
-    pgw_metric_register_histogram(&first_answer);
+    pgw_metric_register_counter(&refusals);
+    pgw_metric_register_counter(&quarantined);
+    pgw_metric_register_gauge(&queued_now);
+    pgw_metric_register_histogram(&first_answer_time);
 }
 
 static void
@@ -62,7 +64,7 @@
         exchange->queued_at_us = 0;
     }
     pgw_wait_queue_remove(&exchange->gateway->waiting, &exchange->waiting);
-    pgw_metric_gauge_set(&waiting_now, exchange->gateway->waiting.count);
+    pgw_metric_gauge_set(&queued_now, exchange->gateway->waiting.count);
 }
 
 void
@@ -71,12 +73,12 @@
     struct pgw_gateway *gateway = exchange->gateway;
 
     leave_queue(exchange);
-    pgw_timer_stop(gateway->loop, &exchange->timer);
+    pgw_timer_stop(gateway->loop, &exchange->deadline_timer);
     pgw_timer_stop(gateway->loop, &exchange->attempt_timer);
     pgw_home_probe_drop(exchange);
     pgw_quota_end(gateway->quota, exchange);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     pgw_list_remove(&exchange->in_gateway);
     if (exchange->caller != NULL) {
         exchange->caller->owner = NULL;
@@ -106,8 +108,8 @@
     return MIN(rank, ranks - 1);
 }
 
-/* A line that may be left out when there are many: the whole answer came from
- * the first upstream that was asked, and in time. */
+/* Whether the log line may be sampled: the first upstream answered, without an
+ * error and within the objective. */
 static bool
 is_routine(const struct pgw_exchange *exchange, const char *outcome,
            uint64_t first_us)
@@ -119,7 +121,7 @@
 }
 
 static void
-log_end(const struct pgw_exchange *exchange, const char *outcome)
+log_request_end(const struct pgw_exchange *exchange, const char *outcome)
 {
     uint64_t now = pgw_now_us();
     uint64_t first = exchange->first_event_us == 0
@@ -130,35 +132,36 @@
     if (exchange->queued_at_us > 0) {
         queued += now - exchange->queued_at_us;
     }
-    pgw_log_some(
-        is_routine(exchange, outcome, first), "request_end",
-        "request=%s route=%s service=%s rank=%u "
-        "config=%" G_GUINT64_FORMAT " outcome=%s status=%u objective_ms=%u "
-        "limit_ms=%" G_GUINT64_FORMAT " queued_ms=%" G_GUINT64_FORMAT
-        " sends=%u runs=%u load=%u "
-        "load_age_ms=%" G_GUINT64_FORMAT " "
-        "upstream=%s weights=%" G_GUINT64_FORMAT
-        " tokens=%u homes=%zu probe_ms=%" G_GUINT64_FORMAT
-        " missing=%u fetch=%s "
-        "first_ms=%" G_GUINT64_FORMAT " total_ms=%" G_GUINT64_FORMAT
-        " events=%" G_GUINT64_FORMAT,
-        exchange->facts.id, exchange->route->name, exchange->service,
-        pgw_exchange_rank(exchange, PGW_WAIT_QUEUE_RANKS),
-        pgw_route_table_version(exchange->table), outcome, exchange->status,
-        exchange->route->objective_ms,
-        (exchange->deadline_us - exchange->received_us) / 1000, queued / 1000,
-        exchange->sends, exchange->runs, exchange->load_seen,
-        exchange->load_age_us / 1000,
-        exchange->tried_count == 0
-            ? "-"
-            : exchange->tried[exchange->tried_count - 1]->id,
-        exchange->weights, exchange->facts.prompt.tokens,
-        exchange->homes.count, exchange->probing_us / 1000,
-        exchange->missing_tokens,
-        exchange->fetched == NULL ? "-" : exchange->fetched, first / 1000,
-        (now - exchange->received_us) / 1000, exchange->events.events);
+    pgw_log_some(is_routine(exchange, outcome, first), "request_end",
+                 "request=%s route=%s service=%s rank=%u "
+                 "config=%" G_GUINT64_FORMAT
+                 " outcome=%s status=%u objective_ms=%u "
+                 "limit_ms=%" G_GUINT64_FORMAT " queued_ms=%" G_GUINT64_FORMAT
+                 " sends=%u runs=%u load=%u "
+                 "load_age_ms=%" G_GUINT64_FORMAT " "
+                 "upstream=%s weights=%" G_GUINT64_FORMAT
+                 " tokens=%u homes=%zu probe_ms=%" G_GUINT64_FORMAT
+                 " missing=%u fetch=%s "
+                 "first_ms=%" G_GUINT64_FORMAT " total_ms=%" G_GUINT64_FORMAT
+                 " events=%" G_GUINT64_FORMAT,
+                 exchange->facts.id, exchange->route->name, exchange->service,
+                 pgw_exchange_rank(exchange, PGW_WAIT_QUEUE_RANKS),
+                 pgw_route_table_version(exchange->table), outcome,
+                 exchange->status, exchange->route->objective_ms,
+                 (exchange->deadline_us - exchange->received_us) / 1000,
+                 queued / 1000, exchange->sends, exchange->runs,
+                 exchange->load_at_choice, exchange->load_report_age_us / 1000,
+                 exchange->tried_count == 0
+                     ? "-"
+                     : exchange->tried[exchange->tried_count - 1]->id,
+                 exchange->weights, exchange->facts.prompt.tokens,
+                 exchange->homes.count, exchange->probes_waited_us / 1000,
+                 exchange->missing_tokens,
+                 exchange->fetch_source == NULL ? "-" : exchange->fetch_source,
+                 first / 1000, (now - exchange->received_us) / 1000,
+                 exchange->events.events);
     if (first > 0) {
-        pgw_metric_histogram_record_us(&first_answer, first);
+        pgw_metric_histogram_record_us(&first_answer_time, first);
     }
 }
 
@@ -167,14 +170,14 @@
 {
     struct pgw_gateway *gateway = exchange->gateway;
 
-    log_end(exchange, outcome);
+    log_request_end(exchange, outcome);
     pgw_exchange_free(exchange);
-    pgw_gateway_pump(gateway);
+    pgw_gateway_dispatch_queued(gateway);
 }
 
 static void
-answer_own(struct pgw_caller *caller, unsigned status, const char *reason,
-           bool ran, uint32_t retry_after_ms)
+answer_with_error(struct pgw_caller *caller, unsigned status,
+                  const char *reason, bool ran, uint32_t retry_after_ms)
 {
     char fields[128];
     char body[256];
@@ -190,7 +193,7 @@
                    "Retry-After: %u.%03u\r\n",
                    retry_after_ms / 1000, retry_after_ms % 1000);
     }
-    pgw_metric_counter_add(&refused, 1);
+    pgw_metric_counter_add(&refusals, 1);
     pgw_caller_begin(caller, status, fields, size);
     pgw_caller_write(caller, body, (size_t)size);
     pgw_caller_end(caller);
@@ -206,35 +209,35 @@
     if (caller != NULL) {
         exchange->caller = NULL;
         caller->owner = NULL;
-        log_end(exchange, reason);
+        log_request_end(exchange, reason);
         if (exchange->phase == PGW_PHASE_RELAYING) {
             pgw_caller_abort(caller);
         }
         else {
-            answer_own(caller, status, reason, exchange->may_have_run,
-                       retry_after_ms);
+            answer_with_error(caller, status, reason, exchange->may_have_run,
+                              retry_after_ms);
         }
     }
     struct pgw_gateway *gateway = exchange->gateway;
 
     pgw_exchange_free(exchange);
-    pgw_gateway_pump(gateway);
+    pgw_gateway_dispatch_queued(gateway);
 }
 
-/* Time is over. What never reached an upstream has not run, and is told so;
- * of the rest nothing can be promised. */
+/* A request that never reached an upstream is reported as not run; for any
+ * other the outcome is unknown. */
 static void
-deadline_due(struct pgw_timer *timer)
+on_deadline(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
-        pgw_container_of(timer, struct pgw_exchange, timer);
+        pgw_container_of(timer, struct pgw_exchange, deadline_timer);
 
     if (exchange->caller == NULL) {
         pgw_exchange_finish(exchange, "abandoned");
         return;
     }
     if (exchange->upstream == NULL && !exchange->may_have_run) {
-        pgw_exchange_refuse(exchange, 503, "no_place", RETRY_AFTER_MS);
+        pgw_exchange_refuse(exchange, 503, "no_place", NO_SLOT_RETRY_MS);
         return;
     }
     if (exchange->upstream != NULL) {
@@ -245,7 +248,7 @@
 }
 
 static void
-wait_due(struct pgw_timer *timer)
+on_queue_timeout(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
@@ -254,20 +257,21 @@
         pgw_exchange_refuse(exchange, 502, "no_place_to_repeat", 0);
     }
     else {
-        pgw_exchange_refuse(exchange, 503, "no_place", RETRY_AFTER_MS);
+        pgw_exchange_refuse(exchange, 503, "no_place", NO_SLOT_RETRY_MS);
     }
 }
 
 static void
-make_choice(struct pgw_choice *out, const struct pgw_exchange *exchange)
+choose_upstream(struct pgw_choice *out, const struct pgw_exchange *exchange)
 {
     struct pgw_gateway *gateway = exchange->gateway;
     const struct pgw_service *service =
         pgw_route_table_service(exchange->table, exchange->service);
-    const struct pgw_target_weights *named =
+    const struct pgw_target_weights *target =
         exchange->facts.model == NULL
             ? NULL
-            : g_hash_table_lookup(gateway->weights, exchange->facts.model);
+            : g_hash_table_lookup(gateway->target_weights,
+                                  exchange->facts.model);
     struct pgw_choose_input input = {
         .pool = pgw_upstream_table_pool(gateway->upstreams, exchange->service),
         .tried = exchange->tried,
@@ -280,26 +284,26 @@
         input.prompt = &exchange->facts.prompt;
         input.homes = &exchange->homes;
         input.model = exchange->facts.model;
-        input.run_ms =
-            gateway->token_ms.value * exchange->facts.prompt.output_tokens;
-        input.turn_ms = gateway->turn_ms;
-        input.read_rate = gateway->read_rate.value;
+        input.run_ms = gateway->ms_per_output_token.value *
+                       exchange->facts.prompt.output_tokens;
+        input.turn_ms = gateway->loading_turn_ms;
+        input.read_rate = gateway->prefill_rate.value;
         input.kv_tokens = service == NULL ? 0 : service->kv_tokens;
-        input.size =
-            HEAD_SIZE_GUESS + (exchange->caller == NULL
-                                   ? 0
-                                   : pgw_buffer_size(&exchange->caller->body));
+        input.size = HEAD_SIZE_ESTIMATE +
+                     (exchange->caller == NULL
+                          ? 0
+                          : pgw_buffer_size(&exchange->caller->body));
     }
-    if (named != NULL) {
-        input.newest_version = pgw_target_weights_newest(named);
+    if (target != NULL) {
+        input.newest_version = pgw_target_weights_newest(target);
         input.version = pgw_target_weights_oldest_usable(
-            named,
+            target,
             pgw_policy_is_on(&gateway->options.policy, PGW_WEIGHTS_GRACE)
-                ? gateway->options.new_weights_us
+                ? gateway->options.weights_grace_us
                 : 0,
             input.now_us);
         input.least_version = pgw_target_weights_oldest_usable(
-            named, gateway->options.old_weights_us,
+            target, gateway->options.old_weights_usable_us,
             input.now_us +
                 exchange->facts.prompt.tokens * OLD_WEIGHTS_TOKEN_US);
     }
@@ -307,61 +311,62 @@
 }
 
 bool
-pgw_exchange_has_place(const struct pgw_exchange *exchange)
+pgw_exchange_has_free_upstream(const struct pgw_exchange *exchange)
 {
     struct pgw_choice choice;
 
-    make_choice(&choice, exchange);
+    choose_upstream(&choice, exchange);
     return choice.upstream != NULL;
 }
 
-/* Waiting longer than this cannot end in time: refused at once, the caller
- * has the rest of its time to come back. */
+/* A request that is queued for longer could not end before its deadline. An
+ * earlier refusal leaves the caller time for a retry. */
 static uint64_t
-wait_limit_us(const struct pgw_exchange *exchange, uint64_t now_us)
+queue_time_limit_us(const struct pgw_exchange *exchange, uint64_t now_us)
 {
     uint64_t left = exchange->deadline_us - now_us;
 
-    return (uint64_t)((double)left * exchange->gateway->options.wait_share);
+    return (uint64_t)((double)left *
+                      exchange->gateway->options.queue_time_share);
 }
 
 void
-pgw_exchange_place(struct pgw_exchange *exchange)
+pgw_exchange_dispatch(struct pgw_exchange *exchange)
 {
     struct pgw_gateway *gateway = exchange->gateway;
     uint64_t now = pgw_now_us();
     struct pgw_choice choice;
 
-    if (exchange->deadline_us < now + LEAST_TIME_US) {
-        deadline_due(&exchange->timer);
+    if (exchange->deadline_us < now + MIN_ATTEMPT_TIME_US) {
+        on_deadline(&exchange->deadline_timer);
         return;
     }
     if (pgw_home_probe_begin(exchange)) {
         return;
     }
-    make_choice(&choice, exchange);
+    choose_upstream(&choice, exchange);
     if (choice.upstream != NULL) {
         leave_queue(exchange);
         pgw_timer_stop(gateway->loop, &exchange->attempt_timer);
         pgw_exchange_send(exchange, &choice);
         return;
     }
-    pgw_gateway_pump_at(gateway, choice.retry_at_us);
+    pgw_gateway_dispatch_queued_at(gateway, choice.retry_at_us);
     if (pgw_list_is_linked(&exchange->waiting.link)) {
         return;
     }
-    /* A stream that waits to go on elsewhere has its head already: a second
-     * one would stand in the middle of the caller's answer. */
+    /* A stream that is queued to resume keeps its phase, since its head was
+     * sent: a second head would appear within the caller's answer. */
     if (exchange->phase != PGW_PHASE_RELAYING) {
-        exchange->phase = PGW_PHASE_WAITING;
+        exchange->phase = PGW_PHASE_QUEUED;
     }
     exchange->queued_at_us = now;
     pgw_wait_queue_add(&gateway->waiting, &exchange->waiting,
                        pgw_exchange_rank(exchange, PGW_WAIT_QUEUE_RANKS));
-    pgw_metric_gauge_set(&waiting_now, gateway->waiting.count);
-    exchange->attempt_timer.on_due = wait_due;
+    pgw_metric_gauge_set(&queued_now, gateway->waiting.count);
+    exchange->attempt_timer.on_due = on_queue_timeout;
     pgw_timer_start(gateway->loop, &exchange->attempt_timer,
-                    wait_limit_us(exchange, now));
+                    queue_time_limit_us(exchange, now));
 }
 
 static struct pgw_exchange *
@@ -371,7 +376,7 @@
              const struct pgw_workspace *workspace)
 {
     struct pgw_exchange *exchange = g_new0(struct pgw_exchange, 1);
-    uint64_t wait_ms = facts->deadline_ms;
+    uint64_t limit_ms = facts->deadline_ms;
 
     exchange->gateway = gateway;
     exchange->caller = caller;
@@ -380,53 +385,54 @@
     exchange->route = route;
     exchange->workspace = workspace;
     exchange->facts = *facts;
-    /* The caller may go, and its head with it, before the upstream ends. */
+    /* The caller's head may be freed before the upstream has answered. */
     exchange->facts.id = g_strdup(facts->id);
     exchange->facts.model = g_strdup(facts->model);
-    exchange->received_us = caller->head_at_us;
-    if (wait_ms == 0 ||
-        (route->timeout_ms > 0 && route->timeout_ms < wait_ms)) {
-        wait_ms = route->timeout_ms;
+    exchange->received_us = caller->received_at_us;
+    if (limit_ms == 0 ||
+        (route->timeout_ms > 0 && route->timeout_ms < limit_ms)) {
+        limit_ms = route->timeout_ms;
     }
-    exchange->deadline_us = exchange->received_us + wait_ms * 1000;
+    exchange->deadline_us = exchange->received_us + limit_ms * 1000;
     exchange->service = pgw_route_pick(route, pgw_random_u64());
-    exchange->timer.on_due = deadline_due;
+    exchange->deadline_timer.on_due = on_deadline;
     pgw_list_append(&gateway->exchanges, &exchange->in_gateway);
     return exchange;
 }
 
 static void
-refuse_early(const struct pgw_gateway *gateway, struct pgw_caller *caller,
-             const char *id, unsigned status, const char *reason,
-             uint32_t retry_after_ms)
+refuse_request(const struct pgw_gateway *gateway, struct pgw_caller *caller,
+               const char *id, unsigned status, const char *reason,
+               uint32_t retry_after_ms)
 {
     const struct pgw_route_table *routes = gateway->routes;
 
-    pgw_log_info(
-        "request_refused",
-        "request=%s status=%u reason=%s config=%" G_GUINT64_FORMAT
-        " config_age_ms=%" G_GUINT64_FORMAT,
-        id, status, reason,
-        routes == NULL ? 0 : pgw_route_table_version(routes),
-        routes == NULL ? 0 : (pgw_now_us() - gateway->routes_at_us) / 1000);
-    answer_own(caller, status, reason, false, retry_after_ms);
+    pgw_log_info("request_refused",
+                 "request=%s status=%u reason=%s config=%" G_GUINT64_FORMAT
+                 " config_age_ms=%" G_GUINT64_FORMAT,
+                 id, status, reason,
+                 routes == NULL ? 0 : pgw_route_table_version(routes),
+                 routes == NULL
+                     ? 0
+                     : (pgw_now_us() - gateway->routes_set_at_us) / 1000);
+    answer_with_error(caller, status, reason, false, retry_after_ms);
 }
 
-/* The same path, caller and body: its header fields differ from one attempt to
- * the next. */
+/* Of path, workspace and body. Header fields are left out because they differ
+ * when a caller resends the request. */
 static void
 compute_fingerprint(struct pgw_fingerprint *out, struct pgw_caller *caller,
                     const struct pgw_request_facts *facts,
                     const struct pgw_workspace *workspace)
 {
-    char *asked =
+    char *content =
         g_strdup_printf("%s %s%s %s", caller->head->method, facts->host,
                         pgw_http_head_target(caller->head),
                         workspace == NULL ? "" : workspace->name);
 
-    pgw_fingerprint_compute(out, asked, pgw_buffer_head(&caller->body),
+    pgw_fingerprint_compute(out, content, pgw_buffer_head(&caller->body),
                             pgw_buffer_size(&caller->body));
-    g_free(asked);
+    g_free(content);
 }
 
 void
@@ -442,18 +448,18 @@
     register_metrics();
     pgw_metric_counter_add(&requests, 1);
     if (!gateway->options.codec->read_request(&facts, caller->head)) {
-        refuse_early(gateway, caller, "-", 400, "malformed", 0);
+        refuse_request(gateway, caller, "-", 400, "malformed", 0);
         return;
     }
     if (gateway->routes == NULL) {
-        refuse_early(gateway, caller, facts.id, 503, "no_configuration",
-                     NO_CONFIG_RETRY_MS);
+        refuse_request(gateway, caller, facts.id, 503, "no_configuration",
+                       NO_CONFIG_RETRY_MS);
         return;
     }
     route = pgw_route_table_match(gateway->routes, facts.host,
                                   pgw_http_head_target(caller->head));
     if (route == NULL) {
-        refuse_early(gateway, caller, facts.id, 404, "no_route", 0);
+        refuse_request(gateway, caller, facts.id, 404, "no_route", 0);
         return;
     }
     if (!route->open && pgw_route_table_has_keys(gateway->routes)) {
@@ -462,21 +468,22 @@
                 ? NULL
                 : pgw_route_table_workspace(gateway->routes, facts.key);
         if (workspace == NULL) {
-            refuse_early(gateway, caller, facts.id, 401, "unauthorized", 0);
+            refuse_request(gateway, caller, facts.id, 401, "unauthorized", 0);
             return;
         }
     }
     compute_fingerprint(&fingerprint, caller, &facts, workspace);
     /*
-     * Failure: one request crashes each engine that runs it, and its caller
-     * sends it again. Symptom: an engine goes down every few seconds with all
-     * that it runs. It is refused before it reaches one; that the entries tell
-     * each other what crashed makes that so wherever it is sent.
+     * Failure: a request crashes each engine that runs it, and its caller
+     * resends it. Symptom: an engine with all its requests is lost every few
+     * seconds. The request is refused before it reaches an engine. Entries
+     * gossip the runs that crashed, so every entry refuses it.
      */
-    if (pgw_crash_quarantine_is_active(gateway->poison, &fingerprint, now)) {
-        pgw_metric_counter_add(&poisonous, 1);
-        refuse_early(gateway, caller, facts.id, 503, "crashes_upstreams",
-                     POISON_RETRY_MS);
+    if (pgw_crash_quarantine_is_active(gateway->crash_quarantine, &fingerprint,
+                                       now)) {
+        pgw_metric_counter_add(&quarantined, 1);
+        refuse_request(gateway, caller, facts.id, 503, "crashes_upstreams",
+                       CRASH_QUARANTINE_RETRY_MS);
         return;
     }
     exchange = exchange_new(gateway, caller, &facts, route, workspace);
@@ -485,53 +492,55 @@
         exchange->facts.prompt.isolated_to = workspace->name;
     }
     pgw_retry_budgets_deposit(gateway->budgets, exchange->service);
-    pgw_timer_start(gateway->loop, &exchange->timer,
+    pgw_timer_start(gateway->loop, &exchange->deadline_timer,
                     exchange->deadline_us > now ? exchange->deadline_us - now
                                                 : 0);
     if (pgw_quota_admit(gateway->quota, exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
-/* Whether an upstream goes on for a caller that has left cannot be seen here;
- * how late that was noticed and whether its upstream could hear of it can. */
+/* The entry cannot see whether an upstream stops a cancelled run. The log line
+ * shows how late the disconnect was noticed and whether the upstream was
+ * reachable. */
 static void
-log_cancelled(const struct pgw_exchange *exchange, uint64_t late_us)
+log_cancelled_run(const struct pgw_exchange *exchange, uint64_t unnoticed_us)
 {
     const struct pgw_upstream *upstream = exchange->upstream;
     uint64_t now = pgw_now_us();
-    struct pgw_call_trace trace;
+    struct pgw_call_socket_state socket;
 
-    pgw_call_trace(&trace, &exchange->call);
+    pgw_call_socket_state(&socket, &exchange->call);
     pgw_log_info("run_cancelled",
                  "request=%s upstream=%s late_ms=%" G_GUINT64_FORMAT
                  " sent_ms=%" G_GUINT64_FORMAT " heard_ms=%" G_GUINT64_FORMAT
                  " port=%u reused=%d unacked=%d events=%" G_GUINT64_FORMAT,
-                 exchange->facts.id, upstream->id, late_us / 1000,
+                 exchange->facts.id, upstream->id, unnoticed_us / 1000,
                  (now - exchange->sent_us) / 1000,
                  upstream->last_seen_us == 0
                      ? 0
                      : (now - upstream->last_seen_us) / 1000,
-                 trace.port, exchange->call.reused, trace.unacked,
+                 socket.port, exchange->call.reused, socket.unacked,
                  exchange->events.events);
 }
 
 void
-pgw_exchange_caller_gone(struct pgw_exchange *exchange)
+pgw_exchange_handle_caller_gone(struct pgw_exchange *exchange)
 {
-    uint64_t late_us = exchange->caller->gone_late_us;
+    uint64_t unnoticed_us = exchange->caller->gone_unnoticed_us;
 
     exchange->caller = NULL;
     /*
-     * A call that must not run twice is left to its upstream: cut off half
-     * way nobody knows what it did. Everything else would compute for nobody.
+     * A request that must not run twice is left to complete, since after a
+     * cancel its outcome would be unknown. Any other is cancelled: nobody
+     * would receive its answer.
      */
     if (exchange->upstream != NULL && !exchange->route->repeatable &&
         !exchange->route->stream) {
         return;
     }
     if (exchange->upstream != NULL && pgw_call_is_running(&exchange->call)) {
-        log_cancelled(exchange, late_us);
+        log_cancelled_run(exchange, unnoticed_us);
     }
     pgw_exchange_finish(exchange, "caller_gone");
 }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -8,28 +8,33 @@
 
 /**
  * struct pgw_gateway - one entry
- * @started_us: when it was made
- * @routes: configuration in force, NULL before the first
- * @routes_at_us: since when
- * @budgets: repeats that it may make
- * @poison: requests that were running when upstreams crashed
+ * @started_us: when the gateway was created
+ * @routes: configuration in force, NULL before the first one
+ * @routes_set_at_us: when @routes came into force
+ * @budgets: retry budgets of services
+ * @crash_quarantine: requests that were running when upstreams crashed
  * @quota: quotas of workspaces
- * @waiting: requests without a place
- * @exchanges: all requests that are not ended
- * @pump: looks at what waits, once for all that has changed in a turn
- * @pump_timer: looks at it when an upstream that refused is asked again
- * @start_timer: callers are let in without a configuration
- * @unresponsive_timer: looks for upstreams that have fallen silent
- * @weights: model -> &struct pgw_target_weights
- * @token_ms: time that a run takes for each token of the longest answer that
- *   its caller allows, as observed
- * @read_rate: tokens that an engine reads in a millisecond, as observed
- * @turn_ms: time until an engine that loads next is told to, on average
- * @pump_at_us: when @pump_timer is due, 0: it is not set
+ * @waiting: requests that are queued for a free slot
+ * @exchanges: all requests that have not ended
+ * @dispatch_task: tries to dispatch the queued requests, once for all changes
+ *   of one turn of the loop
+ * @dispatch_timer: does the same when an upstream that refused may be tried
+ *   again
+ * @start_timer: ends the pause before callers are accepted without a
+ *   configuration
+ * @unresponsive_timer: checks upstreams for liveness
+ * @target_weights: model -> &struct pgw_target_weights
+ * @ms_per_output_token: observed time from the first event to the end of a
+ *   run, divided by the most output tokens that its caller allows
+ * @prefill_rate: observed prefill speed of an engine, in tokens per ms
+ * @loading_turn_ms: mean time that an engine which is next to load weights
+ *   waits for its turn
+ * @dispatch_due_us: when @dispatch_timer expires, 0: it is not set
+ * @dispatch_is_posted: @dispatch_task is posted and has not run
  * @sidecars: how sidecars are reached, NULL: they are not
  * @sidecars_context: handed to @sidecars
  * @probes: number of a probe -> the &struct pgw_exchange that waits for it
- * @last_probe: number of the last one
+ * @last_probe: number of the last probe
  */
 struct pgw_gateway {
     struct pgw_loop *loop;
@@ -40,23 +45,23 @@
     struct pgw_caller_server *server;
     struct pgw_call_pool *pool;
     struct pgw_route_table *routes;
-    uint64_t routes_at_us;
+    uint64_t routes_set_at_us;
     struct pgw_upstream_table *upstreams;
     struct pgw_retry_budgets *budgets;
-    struct pgw_crash_quarantine *poison;
+    struct pgw_crash_quarantine *crash_quarantine;
     struct pgw_quota *quota;
     struct pgw_wait_queue waiting;
     struct pgw_list exchanges;
-    struct pgw_task pump;
-    struct pgw_timer pump_timer;
+    struct pgw_task dispatch_task;
+    struct pgw_timer dispatch_timer;
     struct pgw_timer start_timer;
     struct pgw_timer unresponsive_timer;
-    GHashTable *weights;
-    struct pgw_moving_average token_ms;
-    struct pgw_moving_average read_rate;
-    double turn_ms;
-    uint64_t pump_at_us;
-    bool pump_posted;
+    GHashTable *target_weights;
+    struct pgw_moving_average ms_per_output_token;
+    struct pgw_moving_average prefill_rate;
+    double loading_turn_ms;
+    uint64_t dispatch_due_us;
+    bool dispatch_is_posted;
     const struct pgw_sidecar_ops *sidecars;
     void *sidecars_context;
     GHashTable *probes;
@@ -65,50 +70,63 @@
 
 /**
  * enum pgw_exchange_phase - progress of a request
- * @PGW_PHASE_WAITING: it waits for a place
- * @PGW_PHASE_SENT: an upstream has it and has not answered
- * @PGW_PHASE_RELAYING: events have reached the caller
+ * @PGW_PHASE_QUEUED: waits for a free slot, or for answers of sidecars
+ * @PGW_PHASE_SENT: sent to an upstream; no event has reached the caller
+ * @PGW_PHASE_RELAYING: events have reached the caller; stays so while a stream
+ *   is queued to resume at another upstream
  */
 enum pgw_exchange_phase {
-    PGW_PHASE_WAITING,
+    PGW_PHASE_QUEUED,
     PGW_PHASE_SENT,
     PGW_PHASE_RELAYING,
 };
 
 /**
  * struct pgw_exchange - one request of a caller
- * @caller: NULL once the caller is gone
- * @table: configuration that it was accepted under
+ * @caller: NULL after the caller has disconnected
+ * @table: the configuration under which the request was accepted
  * @facts: decoded head; host and key point into the caller's head
- * @fingerprint: what it asks, whoever sends it again
+ * @fingerprint: of the request's content, the same whoever resends it
+ * @waiting: place in the gateway's queue
+ * @deadline_timer: expires at @deadline_us
+ * @attempt_timer: while queued: the longest time in the queue; while sent: the
+ *   response timeout of the attempt
  * @deadline_us: the caller gets its final answer by then
- * @runs: upstreams that may have run it
- * @sends: upstreams that it was sent to, refusals included
- * @last_byte_us: when a byte of the present attempt's answer last came, 0:
- * none
- * @announced: its long prompt counts as unread at the sidecar of @upstream
- * @stuck_told: that it waits for a silent upstream stands in the log
- * @may_have_run: some attempt ended without saying that it did not run
- * @homes: of the prompt, that may be chosen beside the own zone; held
- * @probe: answers of sidecars that it waits for, 0: none
- * @probed_at_us: when it last asked for them
- * @probing_us: how long it has waited for them in all
- * @answered: by position in @homes, whether what is known of it is fresh
- * @quota_cost: units of its workspace's quota that it needs
+ * @runs: attempts that may have run the request
+ * @sends: all attempts, including those that an upstream refused
+ * @last_byte_us: when the last byte of the current attempt's answer arrived,
+ *   0: none did
+ * @prefill_is_announced: the sidecar of @upstream counts the request's long
+ *   prompt as pending
+ * @stuck_is_logged: a log line says that the request stays at an upstream that
+ *   is not responsive
+ * @may_have_run: some attempt ended and may have run the request
+ * @homes: engines where all entries look for the prompt's cached parts, and
+ *   which may be chosen outside the own zone; references are held
+ * @probe: number of the probe whose answers are awaited, 0: none
+ * @probed_at_us: when the last probe was sent
+ * @probes_waited_us: total time spent waiting for answers to probes
+ * @home_is_fresh: by position in @homes, whether the cached parts known of
+ *   this engine are up to date
+ * @quota_cost: units of its workspace's quota that the request needs
  * @quota_spent: units that were taken for it
- * @quota_ask: the ask to the owner of the quota that it waits for, 0: none
- * @upstream: where the current attempt is
- * @counted_tokens: memory that it counts at @upstream
- * @prefill_tokens: and prompt tokens without a first event
- * @queued_at_us: since when it waits for a place, 0: it does not
- * @queued_us: how long it has waited in all
- * @load_seen: requests that its upstream was taken to have when it was chosen
- * @load_age_us: age of the report that this rests on
- * @fetched: where missing prompt parts are fetched from, for logs
- * @weights: version that its events come from
+ * @quota_ask: number of the question to the quota's owner whose answer is
+ *   awaited, 0: none
+ * @upstream: upstream of the current attempt, NULL between attempts
+ * @reserved_tokens: tokens of KV cache counted at @upstream for this request
+ * @prefill_tokens: pending prompt tokens counted at @upstream; 0 after the
+ *   first event
+ * @missing_tokens: tokens of shared parts that @upstream did not have cached
+ * @queued_at_us: since when the request is queued, 0: it is not
+ * @queued_us: total time in the queue, without the current wait
+ * @load_at_choice: estimated requests at @upstream when it was chosen
+ * @load_report_age_us: age of the report on which the estimate rests
+ * @fetch_source: where missing prompt parts are fetched from, for logs
+ * @weights: version of the weights that produce its events
+ * @not_run: the upstream states that it did not run the request
  * @answer_fields: header lines for the caller
- * @answer: body collected so far, of an answer that is not a stream
- * @events: of a stream
+ * @answer: body received so far, if the answer is not a stream
+ * @events: events of a stream
  */
 struct pgw_exchange {
     struct pgw_list in_gateway;
@@ -122,7 +140,7 @@
     struct pgw_fingerprint fingerprint;
     enum pgw_exchange_phase phase;
     struct pgw_wait_queue_item waiting;
-    struct pgw_timer timer;
+    struct pgw_timer deadline_timer;
     struct pgw_timer attempt_timer;
     uint64_t received_us;
     uint64_t deadline_us;
@@ -131,29 +149,29 @@
     uint64_t first_event_us;
     uint32_t runs;
     uint32_t sends;
-    bool announced;
-    bool stuck_told;
+    bool prefill_is_announced;
+    bool stuck_is_logged;
     bool may_have_run;
     struct pgw_upstream *tried[PGW_TRIED_MAX];
     size_t tried_count;
     struct pgw_homes homes;
     uint64_t probe;
     uint64_t probed_at_us;
-    uint64_t probing_us;
-    bool answered[PGW_HOMES_MAX];
+    uint64_t probes_waited_us;
+    bool home_is_fresh[PGW_HOMES_MAX];
     double quota_cost;
     double quota_spent;
     uint64_t quota_ask;
     struct pgw_call call;
     struct pgw_upstream *upstream;
-    uint32_t counted_tokens;
+    uint32_t reserved_tokens;
     uint32_t prefill_tokens;
     uint32_t missing_tokens;
     uint64_t queued_at_us;
     uint64_t queued_us;
-    uint32_t load_seen;
-    uint64_t load_age_us;
-    const char *fetched;
+    uint32_t load_at_choice;
+    uint64_t load_report_age_us;
+    const char *fetch_source;
     uint64_t weights;
     unsigned status;
     bool not_run;
@@ -164,88 +182,103 @@
 };
 
 /* gateway.c */
-/** pgw_gateway_pump_at() - look at what waits at a time, or sooner */
-void pgw_gateway_pump_at(struct pgw_gateway *gateway, uint64_t at_us);
+/** pgw_gateway_dispatch_queued_at() - dispatch queued requests at @at_us, or
+ * earlier; 0: no time is set */
+void pgw_gateway_dispatch_queued_at(struct pgw_gateway *gateway,
+                                    uint64_t at_us);
 
 /* dispatch.c */
-/** pgw_exchange_begin() - accept a whole request */
+/** pgw_exchange_begin() - accept a request that was received completely */
 void pgw_exchange_begin(struct pgw_gateway *gateway,
                         struct pgw_caller *caller);
-/** pgw_exchange_caller_gone() - nobody waits for the answer any more */
-void pgw_exchange_caller_gone(struct pgw_exchange *exchange);
-/** pgw_exchange_place() - try to send it; it waits if there is no place */
-void pgw_exchange_place(struct pgw_exchange *exchange);
-/** pgw_exchange_has_place() - another upstream could take it now */
-bool pgw_exchange_has_place(const struct pgw_exchange *exchange);
+/** pgw_exchange_handle_caller_gone() - the caller has disconnected: cancel the
+ * request, unless its upstream must be left to complete it */
+void pgw_exchange_handle_caller_gone(struct pgw_exchange *exchange);
+/** pgw_exchange_dispatch() - send the request to an upstream, or queue it if
+ * none has a free slot */
+void pgw_exchange_dispatch(struct pgw_exchange *exchange);
+/** pgw_exchange_has_free_upstream() - whether another upstream could take the
+ * request now */
+bool pgw_exchange_has_free_upstream(const struct pgw_exchange *exchange);
 /**
- * pgw_exchange_rank() - how urgent it is: 0 goes first
+ * pgw_exchange_rank() - position of the request by urgency, 0 is first
  * @exchange: the request
- * @ranks: how many are told apart; the last one takes what is beyond
+ * @ranks: number of ranks; the last one includes all less urgent requests
  *
- * The workspace's priority goes before the route's.
+ * The workspace's priority takes precedence over the route's.
  */
 unsigned pgw_exchange_rank(const struct pgw_exchange *exchange,
                            unsigned ranks);
-/** pgw_exchange_refuse() - a final answer of the gateway's own */
+/** pgw_exchange_refuse() - answer the caller with an error of the gateway;
+ * frees the exchange */
 void pgw_exchange_refuse(struct pgw_exchange *exchange, unsigned status,
                          const char *reason, uint32_t retry_after_ms);
-/** pgw_exchange_free() - give back everything, close the call */
+/** pgw_exchange_free() - release all resources and close the call */
 void pgw_exchange_free(struct pgw_exchange *exchange);
-/** pgw_exchange_finish() - the caller has its answer; frees the exchange */
+/** pgw_exchange_finish() - log the outcome of a request whose caller needs no
+ * further answer; frees the exchange */
 void pgw_exchange_finish(struct pgw_exchange *exchange, const char *outcome);
 
 /* home_probe.c */
 /**
- * pgw_home_probe_begin() - ask the sidecars of a prompt's homes
- * @exchange: a request that is about to be placed
+ * pgw_home_probe_begin() - probe the sidecars of a prompt's homes
+ * @exchange: a request that is about to be dispatched
  *
- * Return: true when answers are waited for; pgw_exchange_place() is called
- * once they are there, or are not waited for any longer.
+ * Return: true when answers are awaited; pgw_exchange_dispatch() is called
+ * when they have arrived or when the wait for them ends.
  */
 bool pgw_home_probe_begin(struct pgw_exchange *exchange);
-/** pgw_home_probe_drop() - wait for no answers, forget the homes */
+/** pgw_home_probe_drop() - stop waiting for answers and release the homes */
 void pgw_home_probe_drop(struct pgw_exchange *exchange);
 
 /* forward.c */
-/** pgw_exchange_send() - send it to the chosen upstream */
+/** pgw_exchange_send() - start an attempt at the chosen upstream */
 void pgw_exchange_send(struct pgw_exchange *exchange,
                        const struct pgw_choice *choice);
 
 /* relay.c */
-/* What comes back from an upstream, on its way to the caller. */
+/* Callbacks that relay an upstream's answer to the caller. */
 extern const struct pgw_call_ops pgw_relay_ops;
 
 /* attempt.c */
-/** pgw_attempt_enter() - the attempt begins: count what it takes */
-void pgw_attempt_enter(struct pgw_exchange *exchange,
-                       const struct pgw_choice *choice);
-/** pgw_attempt_leave() - the attempt is over: give back what it counts */
-void pgw_attempt_leave(struct pgw_exchange *exchange);
-/** pgw_attempt_end_prefill() - its prompt has been read */
-void pgw_attempt_end_prefill(struct pgw_exchange *exchange);
-/** pgw_attempt_note() - account how it went for its upstream's health */
-void pgw_attempt_note(struct pgw_exchange *exchange,
-                      enum pgw_attempt_result result);
-/** pgw_attempt_may_repeat() - the route, and what is known of the request,
- * allow another upstream although this one may have run it */
-bool pgw_attempt_may_repeat(const struct pgw_exchange *exchange);
-/** pgw_attempt_take_repeat() - a repeat from the budget, if there is one */
-bool pgw_attempt_take_repeat(struct pgw_exchange *exchange);
-/** pgw_attempt_repeat() - it may have run; another upstream gets it, for which
- * a repeat was taken */
-void pgw_attempt_repeat(struct pgw_exchange *exchange, const char *why);
-/** pgw_attempt_give_up() - the caller is told that nobody knows; @why is the
- * outcome */
-void pgw_attempt_give_up(struct pgw_exchange *exchange, const char *why);
+/** pgw_attempt_count_start() - add the attempt to the upstream's counts of
+ * requests and tokens */
+void pgw_attempt_count_start(struct pgw_exchange *exchange,
+                             const struct pgw_choice *choice);
+/** pgw_attempt_count_end() - remove the attempt from these counts and release
+ * the upstream; does nothing without one */
+void pgw_attempt_count_end(struct pgw_exchange *exchange);
+/** pgw_attempt_count_prefill_end() - remove the prompt from the upstream's
+ * pending tokens */
+void pgw_attempt_count_prefill_end(struct pgw_exchange *exchange);
+/** pgw_attempt_record_result() - account the result for the upstream's health
+ */
+void pgw_attempt_record_result(struct pgw_exchange *exchange,
+                               enum pgw_attempt_result result);
+/** pgw_attempt_may_retry() - whether another upstream may get the request
+ * although this one may have run it */
+bool pgw_attempt_may_retry(const struct pgw_exchange *exchange);
+/** pgw_attempt_take_retry() - take a retry from the budget; false: none is
+ * left */
+bool pgw_attempt_take_retry(struct pgw_exchange *exchange);
+/** pgw_attempt_retry() - end an attempt that may have run and dispatch the
+ * request again; the caller has taken the retry */
+void pgw_attempt_retry(struct pgw_exchange *exchange, const char *why);
+/** pgw_attempt_abandon() - end the attempt and answer the caller that the
+ * outcome is unknown; @why is the outcome for logs and callers */
+void pgw_attempt_abandon(struct pgw_exchange *exchange, const char *why);
 /**
- * pgw_attempt_not_run() - nobody ran it: another upstream may, in the budget
+ * pgw_attempt_handle_not_run() - end an attempt that did not run; dispatch the
+ * request again if the budget allows it
  * @exchange: the request
  * @why: outcome for logs
- * @arrived: the upstream got it and refused; costs a repeat
+ * @arrived: the upstream got the request and refused it; costs a retry
  */
-void pgw_attempt_not_run(struct pgw_exchange *exchange, const char *why,
-                         bool arrived);
-/** pgw_attempt_unknown() - whether this upstream ran it is not known */
-void pgw_attempt_unknown(struct pgw_exchange *exchange, const char *why);
+void pgw_attempt_handle_not_run(struct pgw_exchange *exchange, const char *why,
+                                bool arrived);
+/** pgw_attempt_handle_unknown() - end an attempt that may have run; dispatch
+ * the request again if its route and the budget allow it */
+void pgw_attempt_handle_unknown(struct pgw_exchange *exchange,
+                                const char *why);
 
 #endif
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -5,47 +5,48 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* Engines are told the route's priority alone, in steps of two: with the
- * workspace's before it, long prompts of one workspace would go before short
- * ones of another, which wait for less. */
+/* Engines get the route's priority alone, in steps of two. If the workspace's
+ * priority came first, long prompts of one workspace would run before short
+ * ones of another, which need less time. */
 #define ROUTE_PRIORITY_STEP 2
 
 static struct pgw_metric_counter sends = {
     .name = "pgw_gateway_sends_total",
-    .help = "Requests sent to upstreams, repeats included",
+    .help = "Attempts, including retries",
 };
-/* Nothing has come for most of the objective: another upstream may still be
- * in time. The connection is closed, which ends the run here. */
+
+/* The upstream has not answered, but another one may still answer in time.
+ * Closing the connection ends the run. */
 static void
-silent_due(struct pgw_timer *timer)
+on_response_timeout(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
-    if (exchange->call.answered || !pgw_attempt_may_repeat(exchange) ||
-        !pgw_attempt_take_repeat(exchange)) {
+    if (exchange->call.answered || !pgw_attempt_may_retry(exchange) ||
+        !pgw_attempt_take_retry(exchange)) {
         return;
     }
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
-    pgw_attempt_repeat(exchange, "silent");
+    pgw_attempt_record_result(exchange, PGW_RESULT_TIMEOUT);
+    pgw_attempt_retry(exchange, "silent");
 }
 
 static void
-start_silence_timer(struct pgw_exchange *exchange)
+start_response_timer(struct pgw_exchange *exchange)
 {
     struct pgw_gateway *gateway = exchange->gateway;
 
     if (exchange->route->objective_ms == 0 ||
-        !pgw_attempt_may_repeat(exchange) ||
+        !pgw_attempt_may_retry(exchange) ||
         exchange->phase == PGW_PHASE_RELAYING) {
         return;
     }
-    exchange->attempt_timer.on_due = silent_due;
+    exchange->attempt_timer.on_due = on_response_timeout;
     pgw_timer_start(
         gateway->loop, &exchange->attempt_timer,
         pgw_response_timeout_us((uint64_t)exchange->route->objective_ms * 1000,
-                                gateway->options.hedge_share,
+                                gateway->options.response_timeout_share,
                                 exchange->facts.model == NULL
                                     ? 0
                                     : MAX(exchange->facts.prompt.tokens, 1)));
@@ -62,10 +63,10 @@
 }
 
 /*
- * From now on the prompt's shared parts are expected there: requests for the
- * same parts that come meanwhile find them, and need not read them elsewhere.
- * A long prompt is announced whatever the engine holds: other entries must
- * not take it for idle until its next report.
+ * The prompt's shared parts are expected at the upstream from now on, so that
+ * other requests with the same parts go there and no second engine prefills
+ * them. A long prompt is announced even if all its parts are cached: otherwise
+ * other entries would take the engine for idle until its next report.
  */
 static void
 announce(struct pgw_exchange *exchange, const struct pgw_choice *choice,
@@ -74,8 +75,8 @@
     struct pgw_upstream *upstream = choice->upstream;
     const struct pgw_gateway *gateway = exchange->gateway;
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
-    struct pgw_shared_part unknown[PGW_PROMPT_PARTS_MAX];
-    struct pgw_announcement announcement = {.parts = unknown};
+    struct pgw_shared_part new_parts[PGW_PROMPT_PARTS_MAX];
+    struct pgw_announcement announcement = {.parts = new_parts};
     size_t count = 0;
     uint64_t now = pgw_now_us();
     char salt[PGW_CACHE_SALT_SIZE];
@@ -87,7 +88,7 @@
             pgw_part_key(exchange->facts.model, salt, prompt->parts[i].id);
 
         if (!pgw_upstream_holds(upstream, key, tokens, true, now)) {
-            unknown[count++] =
+            new_parts[count++] =
                 (struct pgw_shared_part){.key = key, .tokens = tokens};
         }
         pgw_recent_parts_add(&upstream->expected, key, now);
@@ -102,13 +103,14 @@
         pgw_policy_is_on(&gateway->options.policy, PGW_EXPECTED_PARTS)) {
         gateway->sidecars->announce(gateway->sidecars_context, upstream,
                                     &announcement);
-        exchange->announced = announcement.to_read >= PGW_LONG_PREFILL;
+        exchange->prefill_is_announced =
+            announcement.to_read >= PGW_LONG_PREFILL;
     }
 }
 
-/* The store that keeps the prompt's parts; NULL: there is none. */
+/* The KV store for the prompt's parts, or NULL if there is none. */
 static const struct pgw_service *
-store_of(const struct pgw_exchange *exchange)
+kv_store_for(const struct pgw_exchange *exchange)
 {
     return pgw_policy_is_on(&exchange->gateway->options.policy, PGW_STORE)
                ? pgw_route_table_kv_store(exchange->table,
@@ -117,11 +119,11 @@
 }
 
 static void
-fill_source(struct pgw_forward *forward, struct pgw_exchange *exchange,
-            const struct pgw_choice *choice)
+fill_kv_source(struct pgw_forward *forward, struct pgw_exchange *exchange,
+               const struct pgw_choice *choice)
 {
     const struct pgw_gateway *gateway = exchange->gateway;
-    const struct pgw_service *store = store_of(exchange);
+    const struct pgw_service *store = kv_store_for(exchange);
     struct pgw_source_options options = PGW_SOURCE_OPTIONS_INIT;
     struct pgw_source_input input = {
         .shared = choice->shared_tokens,
@@ -136,11 +138,11 @@
         pgw_policy_is_on(&gateway->options.policy, PGW_STORE_REST);
     source = pgw_source_decide(&input, &options);
     if (source.from == PGW_SOURCE_ENGINE && choice->holder != NULL) {
-        exchange->fetched = "engine";
+        exchange->fetch_source = "engine";
         forward->fetch_from = choice->holder->address_text;
     }
     else if (source.from == PGW_SOURCE_STORE && store != NULL) {
-        exchange->fetched = "store";
+        exchange->fetch_source = "store";
         forward->fetch_from = store->store_address;
     }
     if (source.save && store != NULL) {
@@ -149,24 +151,26 @@
 }
 
 static void
-fill_engine(struct pgw_forward *forward, struct pgw_exchange *exchange,
-            const struct pgw_choice *choice, char salt[PGW_CACHE_SALT_SIZE])
+fill_engine_fields(struct pgw_forward *forward, struct pgw_exchange *exchange,
+                   const struct pgw_choice *choice,
+                   char salt[PGW_CACHE_SALT_SIZE])
 {
     uint64_t version =
         pgw_upstream_version(choice->upstream, exchange->facts.model);
 
     exchange->weights = version;
-    exchange->fetched = NULL;
+    exchange->fetch_source = NULL;
     forward->weights = version;
     forward->cache_salt = salt;
     if (version == 0) {
-        /* Not known under which weights it will run: share nothing. */
+        /* The version that will run the prompt is not known, so none of its
+         * parts may be shared. */
         g_snprintf(salt, PGW_CACHE_SALT_SIZE, "once-%s", exchange->facts.id);
         return;
     }
     pgw_cache_salt(salt, version, exchange->facts.prompt.isolated_to);
     announce(exchange, choice, version);
-    fill_source(forward, exchange, choice);
+    fill_kv_source(forward, exchange, choice);
 }
 
 static void
@@ -198,7 +202,7 @@
                 ? (int)MIN(exchange->route->priority * ROUTE_PRIORITY_STEP,
                            PGW_PRIORITIES - 1)
                 : 0;
-        fill_engine(out, exchange, choice, salt);
+        fill_engine_fields(out, exchange, choice, salt);
     }
 }
 
@@ -223,7 +227,7 @@
     gateway->options.codec->write_request(bytes, &forward);
     options.bytes = bytes->str;
     options.size = bytes->len;
-    pgw_attempt_enter(exchange, choice);
+    pgw_attempt_count_start(exchange, choice);
     exchange->phase = exchange->phase == PGW_PHASE_RELAYING
                           ? PGW_PHASE_RELAYING
                           : PGW_PHASE_SENT;
@@ -237,11 +241,11 @@
     exchange->call.ops = &pgw_relay_ops;
     if (!pgw_call_start(&exchange->call, gateway->pool, &options)) {
         exchange->runs--;
-        pgw_attempt_note(exchange, PGW_RESULT_UNREACHABLE);
-        pgw_attempt_not_run(exchange, "no_socket", false);
+        pgw_attempt_record_result(exchange, PGW_RESULT_UNREACHABLE);
+        pgw_attempt_handle_not_run(exchange, "no_socket", false);
     }
     else {
-        start_silence_timer(exchange);
+        start_response_timer(exchange);
     }
     g_string_free(bytes, TRUE);
 }
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -2,12 +2,12 @@
 #include "gateway/unresponsive.h"
 #include "util/log.h"
 
-/* Time for each token of an answer before any was seen: a step of a busy
- * engine, in milliseconds. */
-#define TOKEN_MS_PRIOR 20
-/* Tokens that an engine reads in a millisecond before any was seen: engines of
- * three deployments read 50 to 92. */
-#define READ_RATE_PRIOR 60
+/* Initial estimates, used until runs have been measured. */
+/* Milliseconds for an output token: a decode step of a busy engine. */
+#define INITIAL_MS_PER_OUTPUT_TOKEN 20
+/* Prompt tokens that an engine prefills in a millisecond: engines of three
+ * deployments prefill 50 to 92. */
+#define INITIAL_PREFILL_RATE 60
 
 static void
 on_request(struct pgw_caller *caller, void *context)
@@ -20,7 +20,7 @@
 {
     (void)context;
     if (caller->owner != NULL) {
-        pgw_exchange_caller_gone(caller->owner);
+        pgw_exchange_handle_caller_gone(caller->owner);
     }
 }
 
@@ -38,18 +38,18 @@
     .render_error = render_error,
 };
 
-/* It vanished from the list without having left. */
+/* The upstream left the list without announcing a drain. */
 static void
-on_upstream_lost(struct pgw_upstream *upstream, void *context)
+on_upstream_delisted(struct pgw_upstream *upstream, void *context)
 {
     struct pgw_gateway *gateway = context;
 
-    pgw_crash_quarantine_add_crash(gateway->poison, upstream->id,
+    pgw_crash_quarantine_add_crash(gateway->crash_quarantine, upstream->id,
                                    pgw_now_us());
 }
 
 static void
-start_due(struct pgw_timer *timer)
+on_start_pause_end(struct pgw_timer *timer)
 {
     struct pgw_gateway *gateway =
         pgw_container_of(timer, struct pgw_gateway, start_timer);
@@ -77,30 +77,34 @@
         return NULL;
     }
     /*
-     * Failure: a process that has just started is sent connections before its
-     * first configuration has come. Symptom: callers are told to come back for
-     * a configuration that is there some milliseconds later. Connections wait
-     * in the kernel until it is there, but not for long: without the store
-     * callers must hear at once that they have to go elsewhere.
+     * Failure: a process that has just started gets connections before its
+     * first configuration. Symptom: it refuses requests that it could serve
+     * some milliseconds later. Connections wait in the listen backlog until
+     * the configuration has arrived, but only for a short time: while the
+     * store is unreachable, callers must be refused at once so that they try
+     * another entry.
      */
 #ifndef PGW_DISABLE_GATEWAY_START
     pgw_caller_server_pause(gateway->server, true);
 #endif
-    gateway->start_timer.on_due = start_due;
+    gateway->start_timer.on_due = on_start_pause_end;
     pgw_timer_start(loop, &gateway->start_timer, options->start_pause_us);
     gateway->instance = g_strdup(options->instance);
     gateway->zone = g_strdup(options->zone);
     gateway->pool = pgw_call_pool_new(loop, &pool);
     gateway->upstreams = pgw_upstream_table_new(options->zone);
-    pgw_moving_average_init(&gateway->token_ms, TOKEN_MS_PRIOR);
-    pgw_moving_average_init(&gateway->read_rate, READ_RATE_PRIOR);
+    pgw_moving_average_init(&gateway->ms_per_output_token,
+                            INITIAL_MS_PER_OUTPUT_TOKEN);
+    pgw_moving_average_init(&gateway->prefill_rate, INITIAL_PREFILL_RATE);
     gateway->budgets = pgw_retry_budgets_new(&options->budgets);
-    gateway->poison = pgw_crash_quarantine_new(&options->poison);
+    gateway->crash_quarantine =
+        pgw_crash_quarantine_new(&options->crash_quarantine);
     gateway->quota = pgw_quota_new(gateway, &options->quota);
-    pgw_upstream_table_on_lost(gateway->upstreams, on_upstream_lost, gateway);
+    pgw_upstream_table_on_lost(gateway->upstreams, on_upstream_delisted,
+                               gateway);
     pgw_unresponsive_start(gateway);
     gateway->probes = g_hash_table_new(g_int64_hash, g_int64_equal);
-    gateway->weights =
+    gateway->target_weights =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return gateway;
 }
@@ -112,7 +116,7 @@
         pgw_exchange_free(
             pgw_container_of(link, struct pgw_exchange, in_gateway));
     }
-    pgw_timer_stop(gateway->loop, &gateway->pump_timer);
+    pgw_timer_stop(gateway->loop, &gateway->dispatch_timer);
     pgw_timer_stop(gateway->loop, &gateway->start_timer);
     pgw_unresponsive_stop(gateway);
     pgw_caller_server_free(gateway->server);
@@ -120,9 +124,9 @@
     pgw_quota_free(gateway->quota);
     pgw_upstream_table_free(gateway->upstreams);
     pgw_retry_budgets_free(gateway->budgets);
-    pgw_crash_quarantine_free(gateway->poison);
+    pgw_crash_quarantine_free(gateway->crash_quarantine);
     pgw_route_table_unref(gateway->routes);
-    g_hash_table_destroy(gateway->weights);
+    g_hash_table_destroy(gateway->target_weights);
     g_hash_table_destroy(gateway->probes);
     g_free(gateway->instance);
     g_free(gateway->zone);
@@ -132,7 +136,7 @@
 struct pgw_crash_quarantine *
 pgw_gateway_crash_quarantine(struct pgw_gateway *gateway)
 {
-    return gateway->poison;
+    return gateway->crash_quarantine;
 }
 
 struct pgw_quota *
@@ -181,8 +185,8 @@
 
     /*
      * Failure: the platform's store or a peer answers with an older copy.
-     * Symptom: a revoked key works again, a request goes to a service that
-     * its route left. Versions only grow, so a lower one is always old.
+     * Symptom: a revoked key works again, or a request goes to a service that
+     * its route no longer names. Versions only grow, so a lower one is stale.
      */
 #ifndef PGW_DISABLE_GATEWAY_ROUTES
     if (gateway->routes != NULL &&
@@ -192,8 +196,8 @@
 #endif
     pgw_route_table_unref(gateway->routes);
     gateway->routes = pgw_route_table_ref(table);
-    gateway->routes_at_us = pgw_now_us();
-    start_due(&gateway->start_timer);
+    gateway->routes_set_at_us = pgw_now_us();
+    on_start_pause_end(&gateway->start_timer);
     pgw_caller_server_set_limits(gateway->server,
                                  pgw_route_table_limits(table));
     pgw_log_info("configuration", "version=%" G_GUINT64_FORMAT, version);
@@ -216,15 +220,15 @@
 pgw_gateway_set_target_weights(struct pgw_gateway *gateway, const char *model,
                                uint64_t version, uint64_t age_us)
 {
-    struct pgw_target_weights *named =
-        g_hash_table_lookup(gateway->weights, model);
+    struct pgw_target_weights *target =
+        g_hash_table_lookup(gateway->target_weights, model);
     uint64_t now = pgw_now_us();
 
-    if (named == NULL) {
-        named = g_new0(struct pgw_target_weights, 1);
-        g_hash_table_insert(gateway->weights, g_strdup(model), named);
+    if (target == NULL) {
+        target = g_new0(struct pgw_target_weights, 1);
+        g_hash_table_insert(gateway->target_weights, g_strdup(model), target);
     }
-    if (pgw_target_weights_add(named, version, now - MIN(age_us, now))) {
+    if (pgw_target_weights_add(target, version, now - MIN(age_us, now))) {
         pgw_log_info("weights_named",
                      "model=%s version=%" G_GUINT64_FORMAT
                      " age_ms=%" G_GUINT64_FORMAT,
@@ -233,12 +237,13 @@
 }
 
 uint64_t
-pgw_gateway_weights(const struct pgw_gateway *gateway, const char *model)
+pgw_gateway_target_version(const struct pgw_gateway *gateway,
+                           const char *model)
 {
-    const struct pgw_target_weights *named =
-        g_hash_table_lookup(gateway->weights, model);
+    const struct pgw_target_weights *target =
+        g_hash_table_lookup(gateway->target_weights, model);
 
-    return named == NULL ? 0 : pgw_target_weights_newest(named);
+    return target == NULL ? 0 : pgw_target_weights_newest(target);
 }
 
 void
@@ -250,81 +255,83 @@
 }
 
 void
-pgw_gateway_set_load(struct pgw_gateway *gateway, uint64_t load_us)
+pgw_gateway_set_weights_loading_time(struct pgw_gateway *gateway,
+                                     uint64_t loading_us)
 {
-    /* The next ones wait for one of those that load, which may have just begun
-     * or be about to end. */
-    gateway->turn_ms = (double)load_us / 1000 / 2;
+    /* The next engine waits for one that is loading, which may be anywhere
+     * between its start and its end: half the loading time on average. */
+    gateway->loading_turn_ms = (double)loading_us / 1000 / 2;
 }
 
 GHashTable *
-pgw_gateway_models(const struct pgw_gateway *gateway)
+pgw_gateway_target_models(const struct pgw_gateway *gateway)
 {
-    return gateway->weights;
+    return gateway->target_weights;
 }
 
 uint64_t
-pgw_gateway_weights_left(const struct pgw_gateway *gateway, const char *model,
-                         uint64_t version)
+pgw_gateway_weights_usable_for_us(const struct pgw_gateway *gateway,
+                                  const char *model, uint64_t version)
 {
-    const struct pgw_target_weights *named =
-        g_hash_table_lookup(gateway->weights, model);
+    const struct pgw_target_weights *target =
+        g_hash_table_lookup(gateway->target_weights, model);
 
-    return named == NULL ? UINT64_MAX
-                         : pgw_target_weights_usable_for_us(
-                               named, version, gateway->options.old_weights_us,
-                               pgw_now_us());
+    return target == NULL
+               ? UINT64_MAX
+               : pgw_target_weights_usable_for_us(
+                     target, version, gateway->options.old_weights_usable_us,
+                     pgw_now_us());
 }
 
-/* All that waits is looked at, since what blocks the first may not block the
- * next: another service, a smaller prompt. */
+/* Tries all queued requests, since what blocks the first one may not block the
+ * next: it may be for another service or have a smaller prompt. */
 static void
-pump_run(struct pgw_task *task)
+run_dispatch(struct pgw_task *task)
 {
     struct pgw_gateway *gateway =
-        pgw_container_of(task, struct pgw_gateway, pump);
+        pgw_container_of(task, struct pgw_gateway, dispatch_task);
 
-    gateway->pump_posted = false;
+    gateway->dispatch_is_posted = false;
     for (unsigned rank = 0; rank < PGW_WAIT_QUEUE_RANKS; rank++) {
         pgw_list_foreach_safe (link, &gateway->waiting.queues[rank]) {
-            pgw_exchange_place(
+            pgw_exchange_dispatch(
                 pgw_container_of(link, struct pgw_exchange, waiting.link));
         }
     }
 }
 
 void
-pgw_gateway_pump(struct pgw_gateway *gateway)
+pgw_gateway_dispatch_queued(struct pgw_gateway *gateway)
 {
-    if (gateway->waiting.count > 0 && !gateway->pump_posted) {
-        gateway->pump_posted = true;
-        gateway->pump.run = pump_run;
-        pgw_loop_post(gateway->loop, &gateway->pump);
+    if (gateway->waiting.count > 0 && !gateway->dispatch_is_posted) {
+        gateway->dispatch_is_posted = true;
+        gateway->dispatch_task.run = run_dispatch;
+        pgw_loop_post(gateway->loop, &gateway->dispatch_task);
     }
 }
 
 static void
-pump_due(struct pgw_timer *timer)
+on_dispatch_due(struct pgw_timer *timer)
 {
     struct pgw_gateway *gateway =
-        pgw_container_of(timer, struct pgw_gateway, pump_timer);
+        pgw_container_of(timer, struct pgw_gateway, dispatch_timer);
 
-    gateway->pump_at_us = 0;
-    pgw_gateway_pump(gateway);
+    gateway->dispatch_due_us = 0;
+    pgw_gateway_dispatch_queued(gateway);
 }
 
 void
-pgw_gateway_pump_at(struct pgw_gateway *gateway, uint64_t at_us)
+pgw_gateway_dispatch_queued_at(struct pgw_gateway *gateway, uint64_t at_us)
 {
     uint64_t now = pgw_now_us();
 
     if (at_us == 0 ||
-        (gateway->pump_at_us > 0 && gateway->pump_at_us <= at_us)) {
+        (gateway->dispatch_due_us > 0 && gateway->dispatch_due_us <= at_us)) {
         return;
     }
-    gateway->pump_at_us = at_us;
-    gateway->pump_timer.on_due = pump_due;
-    pgw_timer_start(gateway->loop, &gateway->pump_timer,
+    gateway->dispatch_due_us = at_us;
+    gateway->dispatch_timer.on_due = on_dispatch_due;
+    pgw_timer_start(gateway->loop, &gateway->dispatch_timer,
                     at_us > now ? at_us - now : 0);
 }
 
@@ -348,13 +355,13 @@
 }
 
 void
-pgw_gateway_close(struct pgw_gateway *gateway)
+pgw_gateway_close_idle(struct pgw_gateway *gateway)
 {
     pgw_caller_server_close_idle(gateway->server);
 }
 
 unsigned
-pgw_gateway_busy(const struct pgw_gateway *gateway)
+pgw_gateway_request_count(const struct pgw_gateway *gateway)
 {
-    return pgw_caller_server_busy(gateway->server);
+    return pgw_caller_server_request_count(gateway->server);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -15,46 +15,48 @@
 #include "gateway/wait_queue.h"
 
 /**
- * DOC: The entry that passes requests on as they are
+ * DOC: The entry: a reverse proxy between callers and upstreams
  *
- * Callers and upstreams speak HTTP to each other; the gateway decides who may
- * ask, where a request runs and what happens when that fails. It reads heads
- * and the borders of events, never bodies.
+ * Relays HTTP requests and answers unchanged. The gateway authorizes callers,
+ * chooses the upstream that runs a request, and retries or resumes it after a
+ * failure. It parses heads and the ends of events, never bodies.
  *
- *   read -> identify -> wait -> choose -> send -> relay -> account
+ *   read -> identify -> queue -> choose -> send -> relay -> account
  *
- * Everything is on one loop's thread: an entry has a fraction of a core, and a
- * second thread would only take turns with the first.
+ * Everything runs on one loop's thread: an entry has a fraction of a core, so
+ * a second thread would only compete with the first.
  */
 
 /**
  * struct pgw_gateway_options - settings of a gateway
  * @instance: name of this process
  * @zone: its availability zone
- * @listen: where callers connect
- * @codec: how the deployment spells requests
- * @policy: mechanisms that are switched off
- * @budgets: bounds of repeats
+ * @listen: address on which callers connect
+ * @codec: header fields of the deployment
+ * @policy: which mechanisms are switched off
+ * @budgets: bounds of retries
  * @choose: thresholds of placement
  * @quota: what may be spent beyond the quotas of workspaces
- * @poison: thresholds for requests that crash upstreams
- * @old_weights_us: for how long older weights are used after newer were named
- * @new_weights_us: answers with the weights of before count in full until so
- *   long after newer were named
- * @wait_share: part of a request's time that it may wait for a place
- * @hedge_share: part of the objective after which a silent upstream is given
- *   up for a request that may run again
- * @last_bytes_us: what a process sent may come so long after another one was
- *   first known to have taken its place
- * @probe_wait_us: for how long the answers of sidecars are waited for
- * @quota_wait_us: for how long the answer of a quota's owner is waited for
- * @quota_start_us: until so long after the start requests wait for the links
- * to owners of quotas
- * @start_pause_us: for how long connections of callers wait for the first
+ * @crash_quarantine: thresholds for requests that crash upstreams
+ * @old_weights_usable_us: how long older weights may be used after a newer
+ *   target version was announced
+ * @weights_grace_us: how long answers with the previous weights count in full
+ *   after a newer target version was announced
+ * @queue_time_share: part of the time until its deadline that a request may be
+ *   queued
+ * @response_timeout_share: part of the objective after which a plain service
+ *   that has not answered is given up, if the request may be retried
+ * @final_answer_grace_us: how long an upstream's process may still send an
+ *   answer after its successor was first seen
+ * @probe_wait_us: longest wait for answers of probed sidecars
+ * @quota_wait_us: longest wait for the answer of a quota's owner
+ * @quota_start_us: for this time after the start, requests wait for links to
+ *   the owners of quotas
+ * @start_pause_us: longest time that connections of callers wait for the first
  *   configuration
- * @on_answered_by: an upstream's address was answered by this one; NULL:
- * nobody is told
- * @context: handed to @on_answered_by
+ * @on_incarnation_seen: another incarnation with this id has answered at an
+ *   upstream's address; NULL: not called
+ * @context: handed to @on_incarnation_seen
  */
 struct pgw_gateway_options {
     const char *instance;
@@ -65,17 +67,17 @@
     struct pgw_retry_budgets_options budgets;
     struct pgw_choose_options choose;
     struct pgw_quota_bounds quota;
-    struct pgw_crash_quarantine_options poison;
-    uint64_t old_weights_us;
-    uint64_t new_weights_us;
-    double wait_share;
-    double hedge_share;
-    uint64_t last_bytes_us;
+    struct pgw_crash_quarantine_options crash_quarantine;
+    uint64_t old_weights_usable_us;
+    uint64_t weights_grace_us;
+    double queue_time_share;
+    double response_timeout_share;
+    uint64_t final_answer_grace_us;
     uint64_t probe_wait_us;
     uint64_t quota_wait_us;
     uint64_t quota_start_us;
     uint64_t start_pause_us;
-    void (*on_answered_by)(const char *id, void *context);
+    void (*on_incarnation_seen)(const char *id, void *context);
     void *context;
 };
 
@@ -91,22 +93,25 @@
 /** pgw_gateway_instance() - name of this process */
 const char *pgw_gateway_instance(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_age_ms() - for how long it has been running */
+/** pgw_gateway_age_ms() - time since the gateway was created */
 uint32_t pgw_gateway_age_ms(const struct pgw_gateway *gateway);
 
 /** pgw_gateway_zone() - its availability zone */
 const char *pgw_gateway_zone(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_policy() - mechanisms that are switched off */
+/** pgw_gateway_policy() - which mechanisms are switched off */
 const struct pgw_policy *pgw_gateway_policy(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_port() - where it listens */
+/** pgw_gateway_port() - port on which it listens */
 uint16_t pgw_gateway_port(const struct pgw_gateway *gateway);
 
 /**
- * pgw_gateway_set_routes() - take a newer configuration
+ * pgw_gateway_set_routes() - put a newer configuration into force
  *
- * Return: false when the one in force is as new; @table is not kept then.
+ * Takes a reference to @table.
+ *
+ * Return: false when @table is not newer than the configuration in force; no
+ * reference is taken then.
  */
 bool pgw_gateway_set_routes(struct pgw_gateway *gateway,
                             struct pgw_route_table *table);
@@ -115,22 +120,23 @@
 const struct pgw_route_table *
 pgw_gateway_routes(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_upstreams() - the table to fill */
+/** pgw_gateway_upstreams() - the table of upstreams, to be filled by the owner
+ * of the gateway */
 struct pgw_upstream_table *pgw_gateway_upstreams(struct pgw_gateway *gateway);
 
 /**
- * pgw_gateway_set_target_weights() - a newer version of a model was named
+ * pgw_gateway_set_target_weights() - set the target version of a model
  * @gateway: the gateway
- * @model: whose weights
- * @version: their version; not newer than the last one: nothing happens
- * @age_us: how long ago, as far as is known
+ * @model: name of the model
+ * @version: the target version; ignored if it is not newer than the last one
+ * @age_us: time since it was announced, as far as is known
  */
 void pgw_gateway_set_target_weights(struct pgw_gateway *gateway,
                                     const char *model, uint64_t version,
                                     uint64_t age_us);
 
 /**
- * struct pgw_shared_part - a shared part of a request on its way to an engine
+ * struct pgw_shared_part - a shared part of a prompt that is sent to an engine
  * @key: pgw_part_key() of the part
  * @tokens: its size
  */
@@ -140,11 +146,12 @@
 };
 
 /**
- * struct pgw_announcement - a request on its way to an engine
- * @parts: shared parts of its prompt that the engine is not known to hold
+ * struct pgw_announcement - a request in flight to an engine
+ * @parts: shared parts of its prompt that the engine is not known to have
+ *   cached
  * @count: number of @parts
- * @to_read: tokens of the prompt that the engine has to read
- * @memory: tokens of the engine's memory that it takes at most
+ * @to_read: tokens of the prompt that the engine has to prefill
+ * @memory: most tokens that the request occupies in the engine's KV cache
  * @request: pgw_announced_prompts_id() of the request
  */
 struct pgw_announcement {
@@ -156,13 +163,14 @@
 };
 
 /**
- * struct pgw_sidecar_ops - how the sidecars of engines are reached
- * @announce: a request is sent to an engine; without parts and anything to
- *   read: the long prompt that was announced before has been read or given up
- * @probe: ask for an engine's load and which parts it holds; the answer comes
- *   through pgw_gateway_probe_answered(). false: it cannot be asked now
- * @ask_quota: ask the owner of a quota, or report to it; the answer comes
- *   through pgw_quota_answered(). false: it cannot be asked now
+ * struct pgw_sidecar_ops - messages to the sidecars of engines
+ * @announce: announce a request in flight; with no @parts and @to_read 0, the
+ *   long prompt announced before has been prefilled or cancelled
+ * @probe: ask for an engine's load and its cached parts; the answer arrives
+ *   through pgw_gateway_probe_answered(). false: the sidecar is not reachable
+ * @ask_quota: ask the owner of a quota for units, or report units to it; the
+ *   answer arrives through pgw_quota_answered(). false: the owner is not
+ *   reachable
  */
 struct pgw_sidecar_ops {
     void (*announce)(void *context, const struct pgw_upstream *upstream,
@@ -173,58 +181,65 @@
                       const struct pgw_quota_ask *ask);
 };
 
-/** pgw_gateway_set_sidecars() - reach sidecars by @ops, which is not copied;
- * NULL: they are not reached */
+/** pgw_gateway_set_sidecars() - reach sidecars through @ops, which is not
+ * copied; NULL: sidecars are not used */
 void pgw_gateway_set_sidecars(struct pgw_gateway *gateway,
                               const struct pgw_sidecar_ops *ops,
                               void *context);
 
-/** pgw_gateway_probe_answered() - what a sidecar said stands in the table of
- * upstreams */
+/** pgw_gateway_probe_answered() - a sidecar has answered a probe, and its
+ * answer has been stored in the table of upstreams */
 void pgw_gateway_probe_answered(struct pgw_gateway *gateway, uint64_t probe,
                                 const struct pgw_upstream *upstream);
 
-/** pgw_gateway_set_load() - time that an engine is away for a load, in
- * microseconds; 0: not known */
-void pgw_gateway_set_load(struct pgw_gateway *gateway, uint64_t load_us);
+/** pgw_gateway_set_weights_loading_time() - how long an engine is unavailable
+ * while it loads weights, in microseconds; 0: not known */
+void pgw_gateway_set_weights_loading_time(struct pgw_gateway *gateway,
+                                          uint64_t loading_us);
 
-/** pgw_gateway_models() - those of which a version was named: its keys */
-GHashTable *pgw_gateway_models(const struct pgw_gateway *gateway);
+/** pgw_gateway_target_models() - models that have a target version: the keys
+ * of the table */
+GHashTable *pgw_gateway_target_models(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_weights_left() - how long an engine with these weights may
- * still be used, in microseconds; %UINT64_MAX: they are the newest */
-uint64_t pgw_gateway_weights_left(const struct pgw_gateway *gateway,
-                                  const char *model, uint64_t version);
+/** pgw_gateway_weights_usable_for_us() - how long an engine with this version
+ * of the weights may still be used, in microseconds; %UINT64_MAX: no newer
+ * version is announced */
+uint64_t pgw_gateway_weights_usable_for_us(const struct pgw_gateway *gateway,
+                                           const char *model,
+                                           uint64_t version);
 
-/** pgw_gateway_weights() - newest version named of a model, 0: none */
-uint64_t pgw_gateway_weights(const struct pgw_gateway *gateway,
-                             const char *model);
+/** pgw_gateway_target_version() - target version of a model, 0: none */
+uint64_t pgw_gateway_target_version(const struct pgw_gateway *gateway,
+                                    const char *model);
 
-/** pgw_gateway_quota() - quotas of workspaces, which take owners' answers */
+/** pgw_gateway_quota() - quotas of workspaces; answers of their owners are
+ * handed to it */
 struct pgw_quota *pgw_gateway_quota(struct pgw_gateway *gateway);
 
-/** pgw_gateway_set_entries() - how many entries share quotas and the bounds of
- * repeats */
+/** pgw_gateway_set_entries() - number of entries that share quotas and retry
+ * budgets */
 void pgw_gateway_set_entries(struct pgw_gateway *gateway, uint32_t entries);
 
-/** pgw_gateway_crash_quarantine() - what is known of requests that crash
- * upstreams, to be told to other entries */
+/** pgw_gateway_crash_quarantine() - requests that crash upstreams, to be
+ * exchanged with other entries by gossip */
 struct pgw_crash_quarantine *
 pgw_gateway_crash_quarantine(struct pgw_gateway *gateway);
 
-/** pgw_gateway_pump() - upstreams have changed: look at what waits */
-void pgw_gateway_pump(struct pgw_gateway *gateway);
+/** pgw_gateway_dispatch_queued() - upstreams have changed: try to dispatch the
+ * queued requests, from the loop */
+void pgw_gateway_dispatch_queued(struct pgw_gateway *gateway);
 
-/** pgw_gateway_pool() - connections, shared with other callers of upstreams */
+/** pgw_gateway_pool() - connections to upstreams, which other modules share */
 struct pgw_call_pool *pgw_gateway_pool(struct pgw_gateway *gateway);
 
-/** pgw_gateway_drain() - answers end their connections from now on */
+/** pgw_gateway_drain() - from now on, close each connection after its answer
+ */
 void pgw_gateway_drain(struct pgw_gateway *gateway);
 
-/** pgw_gateway_close() - accept no more, close what is idle */
-void pgw_gateway_close(struct pgw_gateway *gateway);
+/** pgw_gateway_close_idle() - stop accepting and close idle connections */
+void pgw_gateway_close_idle(struct pgw_gateway *gateway);
 
-/** pgw_gateway_busy() - requests being read or answered */
-unsigned pgw_gateway_busy(const struct pgw_gateway *gateway);
+/** pgw_gateway_request_count() - number of requests being read or answered */
+unsigned pgw_gateway_request_count(const struct pgw_gateway *gateway);
 
 #endif
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -3,18 +3,20 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* An answer that is not a stream is collected whole, so that none is cut short
- * under a success; a longer one than this is refused. */
+/* An answer that is not a stream is buffered completely before it is relayed,
+ * so that no caller gets a success status with a truncated body. A longer
+ * answer than this ends the attempt. */
 #define ANSWER_MAX ((size_t)8 * 1024 * 1024)
 
-static struct pgw_metric_counter skipped = {
+static struct pgw_metric_counter foreign_answers = {
     .name = "pgw_gateway_foreign_answers_total",
-    .help = "Answers that belonged to another request",
+    .help = "Answers that were dropped because they belong to another request",
 };
 
-static struct pgw_metric_gauge read_rate = {
+static struct pgw_metric_gauge prefill_rate_gauge = {
     .name = "pgw_engine_read_tokens_per_ms",
-    .help = "Tokens that an engine reads in a millisecond, as observed",
+    .help =
+        "Prompt tokens that an engine prefills in a millisecond, as observed",
 };
 
 static struct pgw_exchange *
@@ -30,7 +32,8 @@
     for (unsigned i = 0; i < head->count; i++) {
         const char *name = pgw_http_head_name(head, i);
 
-        if (!pgw_http_head_is_hop(head, i) && codec->keep_answer_field(name)) {
+        if (!pgw_http_head_is_hop_by_hop(head, i) &&
+            codec->keep_answer_field(name)) {
             g_string_append_printf(out, "%s: %s\r\n", name,
                                    pgw_http_head_value(head, i));
         }
@@ -48,13 +51,13 @@
     pgw_upstream_note_answer(exchange->upstream, exchange->last_byte_us);
     codec->read_answer(&facts, head);
     /*
-     * Failure: the answer to an earlier request on this connection comes late,
-     * or twice. Symptom: a caller gets another caller's answer. The name of
-     * the attempt is echoed, so an answer of another name is passed over.
+     * Failure: the answer to an earlier request on this connection arrives
+     * late or twice. Symptom: a caller gets another caller's answer. Upstreams
+     * echo the attempt's id, so an answer with another id is dropped.
      */
 #ifndef PGW_DISABLE_GATEWAY_FOREIGN
     if (facts.id != NULL && strcmp(facts.id, exchange->facts.id) != 0) {
-        pgw_metric_counter_add(&skipped, 1);
+        pgw_metric_counter_add(&foreign_answers, 1);
         pgw_log_warning("foreign_answer", "request=%s upstream=%s",
                         exchange->facts.id, exchange->upstream->id);
         return false;
@@ -67,18 +70,18 @@
     exchange->not_run = facts.not_run;
     exchange->is_stream = facts.is_stream && head->status < 300;
     if (facts.not_run) {
-        /* The list still names an incarnation that is no more. */
+        /* The list of upstreams still names an incarnation that has ended. */
         if (facts.instance != NULL &&
             strcmp(facts.instance, exchange->upstream->id) != 0) {
             pgw_log_info("upstream_displaced", "upstream=%s by=%s",
                          exchange->upstream->id, facts.instance);
             exchange->upstream->displaced = true;
             exchange->upstream->ended_at_us = pgw_now_us();
-            pgw_crash_quarantine_add_crash(exchange->gateway->poison,
+            pgw_crash_quarantine_add_crash(exchange->gateway->crash_quarantine,
                                            exchange->upstream->id,
                                            pgw_now_us());
-            if (exchange->gateway->options.on_answered_by != NULL) {
-                exchange->gateway->options.on_answered_by(
+            if (exchange->gateway->options.on_incarnation_seen != NULL) {
+                exchange->gateway->options.on_incarnation_seen(
                     facts.instance, exchange->gateway->options.context);
             }
         }
@@ -86,8 +89,8 @@
     }
     if (!facts.genuine) {
         pgw_call_cancel(call);
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
-        pgw_attempt_unknown(exchange, "not_genuine");
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_handle_unknown(exchange, "not_genuine");
         return true;
     }
     if (facts.weights > 0 && exchange->facts.model != NULL) {
@@ -104,56 +107,58 @@
     return true;
 }
 
-/* How fast the engine read a long prompt that had it almost to itself. What
- * was fetched was not read. */
+/* Measures the prefill rate with a long prompt on an engine that had at most
+ * one other request. Tokens that were fetched were not prefilled. */
 static void
-note_reading(struct pgw_exchange *exchange, uint64_t now_us)
+measure_prefill_rate(struct pgw_exchange *exchange, uint64_t now_us)
 {
     struct pgw_gateway *gateway = exchange->gateway;
-    uint32_t fetched =
-        exchange->fetched == NULL ? 0 : exchange->missing_tokens;
-    uint32_t read =
-        exchange->prefill_tokens - MIN(fetched, exchange->prefill_tokens);
+    uint32_t fetched_tokens =
+        exchange->fetch_source == NULL ? 0 : exchange->missing_tokens;
+    uint32_t prefilled = exchange->prefill_tokens -
+                         MIN(fetched_tokens, exchange->prefill_tokens);
 
-    if (exchange->sends != 1 || exchange->load_seen > 1 ||
-        read < PGW_LONG_PREFILL) {
+    if (exchange->sends != 1 || exchange->load_at_choice > 1 ||
+        prefilled < PGW_LONG_PREFILL) {
         return;
     }
     pgw_moving_average_add(
-        &gateway->read_rate,
-        read * 1000.0 / (double)(now_us - exchange->sent_us + 1), now_us);
-    pgw_metric_register_gauge(&read_rate);
-    pgw_metric_gauge_set(&read_rate, (int64_t)gateway->read_rate.value);
+        &gateway->prefill_rate,
+        prefilled * 1000.0 / (double)(now_us - exchange->sent_us + 1), now_us);
+    pgw_metric_register_gauge(&prefill_rate_gauge);
+    pgw_metric_gauge_set(&prefill_rate_gauge,
+                         (int64_t)gateway->prefill_rate.value);
 }
 
-/* The prompt has been read: it is in the engine's memory now. */
+/* The first event shows that the prompt has been prefilled. */
 static void
-note_first_event(struct pgw_exchange *exchange)
+handle_first_event(struct pgw_exchange *exchange)
 {
-    note_reading(exchange, pgw_now_us());
+    measure_prefill_rate(exchange, pgw_now_us());
     if (exchange->first_event_us == 0) {
         exchange->first_event_us = pgw_now_us();
     }
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
-    pgw_attempt_end_prefill(exchange);
+    pgw_attempt_count_prefill_end(exchange);
 }
 
 static void
 relay_events(struct pgw_exchange *exchange, const char *data, size_t size)
 {
-    size_t whole = pgw_event_stream_feed(&exchange->events, data, size);
+    size_t complete_size =
+        pgw_event_stream_feed(&exchange->events, data, size);
 
     if (exchange->events.out_of_order) {
         pgw_call_cancel(&exchange->call);
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
-        pgw_attempt_give_up(exchange, "out_of_order");
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_abandon(exchange, "out_of_order");
         return;
     }
-    if (whole == 0) {
+    if (complete_size == 0) {
         return;
     }
     if (exchange->prefill_tokens > 0 || exchange->first_event_us == 0) {
-        note_first_event(exchange);
+        handle_first_event(exchange);
     }
     if (exchange->phase != PGW_PHASE_RELAYING) {
         exchange->phase = PGW_PHASE_RELAYING;
@@ -161,8 +166,9 @@
                          exchange->answer_fields->str, -1);
     }
     pgw_caller_write(exchange->caller,
-                     pgw_buffer_head(&exchange->events.pending), whole);
-    pgw_event_stream_consume(&exchange->events, whole);
+                     pgw_buffer_head(&exchange->events.pending),
+                     complete_size);
+    pgw_event_stream_consume(&exchange->events, complete_size);
 }
 
 static void
@@ -181,21 +187,21 @@
     }
     if (pgw_buffer_size(&exchange->answer) + size > ANSWER_MAX) {
         pgw_call_cancel(call);
-        pgw_attempt_unknown(exchange, "answer_too_large");
+        pgw_attempt_handle_unknown(exchange, "answer_too_large");
         return;
     }
     pgw_buffer_append(&exchange->answer, data, size);
 }
 
-/* How long a whole run took behind its first event. */
+/* Measures the time from the first event to the end of a run. */
 static void
-note_run(const struct pgw_exchange *exchange)
+measure_decode_time(const struct pgw_exchange *exchange)
 {
     uint64_t now = pgw_now_us();
 
     if (exchange->is_stream && exchange->sends == 1 &&
         exchange->facts.prompt.output_tokens > 0) {
-        pgw_moving_average_add(&exchange->gateway->token_ms,
+        pgw_moving_average_add(&exchange->gateway->ms_per_output_token,
                                (double)(now - exchange->first_event_us) /
                                    1000.0 /
                                    exchange->facts.prompt.output_tokens,
@@ -225,7 +231,7 @@
                          pgw_buffer_size(&exchange->answer));
     }
     pgw_caller_end(caller);
-    note_run(exchange);
+    measure_decode_time(exchange);
     pgw_exchange_finish(exchange, "answered");
 }
 
@@ -235,35 +241,36 @@
     struct pgw_exchange *exchange = exchange_of(call);
 
     if (exchange->not_run) {
-        pgw_attempt_note(exchange, PGW_RESULT_REFUSED);
+        pgw_attempt_record_result(exchange, PGW_RESULT_REFUSED);
         if (exchange->runs > 0) {
             exchange->runs--;
         }
-        pgw_attempt_not_run(exchange, "not_run", true);
+        pgw_attempt_handle_not_run(exchange, "not_run", true);
         return;
     }
-    /* An end in the middle of an event is none, and neither is an answer of
-     * another kind to a stream that goes on. */
+    /* An answer that ends within an event is incomplete. A resumed stream is
+     * not complete either if its upstream answers with another kind of body.
+     */
     if (pgw_buffer_size(&exchange->events.pending) > 0 ||
         (exchange->phase == PGW_PHASE_RELAYING && !exchange->is_stream)) {
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
         pgw_crash_quarantine_add_interrupted(
-            exchange->gateway->poison, &exchange->fingerprint,
+            exchange->gateway->crash_quarantine, &exchange->fingerprint,
             exchange->upstream->id, pgw_now_us());
-        pgw_attempt_unknown(exchange, "cut_event");
+        pgw_attempt_handle_unknown(exchange, "cut_event");
         return;
     }
     if (exchange->status >= 500) {
-        pgw_attempt_note(exchange, PGW_RESULT_ERROR);
-        if (exchange->caller != NULL && pgw_attempt_may_repeat(exchange) &&
-            pgw_attempt_take_repeat(exchange)) {
-            pgw_attempt_repeat(exchange, "error");
+        pgw_attempt_record_result(exchange, PGW_RESULT_ERROR);
+        if (exchange->caller != NULL && pgw_attempt_may_retry(exchange) &&
+            pgw_attempt_take_retry(exchange)) {
+            pgw_attempt_retry(exchange, "error");
             return;
         }
     }
     else {
-        pgw_attempt_note(exchange, PGW_RESULT_GOOD);
-        pgw_crash_quarantine_clear(exchange->gateway->poison,
+        pgw_attempt_record_result(exchange, PGW_RESULT_GOOD);
+        pgw_crash_quarantine_clear(exchange->gateway->crash_quarantine,
                                    &exchange->fingerprint);
     }
     deliver(exchange);
@@ -275,35 +282,36 @@
     static const char *const names[] = {
         [PGW_CALL_NO_CONNECTION] = "no_connection",
         [PGW_CALL_CLOSED] = "closed",
-        [PGW_CALL_GARBLED] = "garbled",
+        [PGW_CALL_MALFORMED] = "garbled",
         [PGW_CALL_TIMEOUT] = "timeout",
     };
     struct pgw_exchange *exchange = exchange_of(call);
 
-    /* A reused connection may just have been closed for being idle. */
+    /* A reused connection that is closed before an answer was probably closed
+     * for being idle, which says nothing about the upstream's health. */
     if (why != PGW_CALL_CLOSED || !call->reused || call->answered) {
-        pgw_attempt_note(exchange, call->sent ? PGW_RESULT_BROKEN
-                                              : PGW_RESULT_UNREACHABLE);
+        pgw_attempt_record_result(
+            exchange, call->sent ? PGW_RESULT_BROKEN : PGW_RESULT_UNREACHABLE);
     }
     if (!call->sent) {
-        /* Nobody listens at its address any more: what broke off there a
-         * moment ago may have crashed it. One that does not answer may only
-         * be cut off from this entry. */
+        /* A refused connection means that the upstream's process has ended, so
+         * runs that were interrupted there may have crashed it. A connection
+         * attempt without an answer may only mean that the network is down. */
         if (call->refused) {
-            pgw_crash_quarantine_add_crash(exchange->gateway->poison,
+            pgw_crash_quarantine_add_crash(exchange->gateway->crash_quarantine,
                                            exchange->upstream->id,
                                            pgw_now_us());
         }
         if (exchange->runs > 0) {
             exchange->runs--;
         }
-        pgw_attempt_not_run(exchange, names[why], false);
+        pgw_attempt_handle_not_run(exchange, names[why], false);
         return;
     }
-    pgw_crash_quarantine_add_interrupted(exchange->gateway->poison,
+    pgw_crash_quarantine_add_interrupted(exchange->gateway->crash_quarantine,
                                          &exchange->fingerprint,
                                          exchange->upstream->id, pgw_now_us());
-    pgw_attempt_unknown(exchange, names[why]);
+    pgw_attempt_handle_unknown(exchange, names[why]);
 }
 
 const struct pgw_call_ops pgw_relay_ops = {
--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -67,7 +67,8 @@
 wanted_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
-    return pgw_gateway_weights(self->gateway, upstream->models[model].model);
+    return pgw_gateway_target_version(self->gateway,
+                                      upstream->models[model].model);
 }
 
 /* Whether some of its weights are known to be older than the named ones. */
--- a/tests/unit/test_sidecar_links.c
+++ b/tests/unit/test_sidecar_links.c
@@ -35,7 +35,7 @@
         .codec = &platform_codec,
         .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
-        .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
+        .crash_quarantine = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
     };
 
     g_assert_true(pgw_address_parse(&options.listen, "127.0.0.1:0", NULL));
--- a/tests/unit/test_sidecarless.c
+++ b/tests/unit/test_sidecarless.c
@@ -144,7 +144,7 @@
         .codec = &platform_codec,
         .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
-        .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
+        .crash_quarantine = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
     };
     struct pgw_sidecarless_options options = {
         .instance = "entry-1",
@@ -212,7 +212,7 @@
 test_entry_orders(void)
 {
     stage_open(false);
-    scene_engine_play(&stage->engine, is_ordered);
+    scene_engine_serve(&stage->engine, is_ordered);
     g_assert_nonnull(strstr(stage->engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(stage->engine.order, "\"fence\":41"));
     g_assert_nonnull(strstr(stage->engine.order, "\"holder\":\"entry-1\""));
