--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -11,21 +11,21 @@
 #include <unistd.h>
 
 #define READ_SIZE 65536
-/* Addresses that are remembered without a connection to them. */
+/* With more peers than this, those without a connection are removed. */
 #define PEERS_KEPT 1024
-/* How long before the announced end of its keep-alive time a connection is
- * given up: a request that crosses the peer's close is lost. */
+/* A connection is closed this long before the end of the keep-alive time that
+ * the peer announced: a request that is sent while the peer closes is lost. */
 #define KEEP_ALIVE_MARGIN_US 700000
 
-static struct pgw_metric_counter connects = {
+static struct pgw_metric_counter opened_connections = {
     .name = "pgw_call_connections_total",
     .help = "Connections opened to upstreams and the platform",
 };
 
 /**
  * struct peer - connections to one address
- * @idle: &struct pgw_connection, the least recently used first
- * @connections: all connections to it, idle ones included
+ * @idle: idle connections (&struct pgw_connection), least recently used first
+ * @connections: number of connections, including idle ones
  */
 struct peer {
     struct pgw_address address;
@@ -45,9 +45,14 @@
 
 /**
  * struct pgw_connection - one socket
- * @call: the call that it carries, NULL while idle
- * @keep_us: how long it may stay idle
- * @events: what epoll watches
+ * @reap: frees the connection after it was closed
+ * @call: the current call, NULL while idle
+ * @out: bytes of the request that were not yet handed to the kernel
+ * @idle_timer: while connecting: the connect timeout; while idle: the end of
+ *   the idle time
+ * @keep_us: how long the connection may stay idle
+ * @events: epoll events that are watched
+ * @skipping: the current answer belongs to another request and is dropped
  */
 struct pgw_connection {
     struct pgw_loop_fd watch;
@@ -69,10 +74,10 @@
     bool closed;
 };
 
-/* Addresses come and go with upstreams; those that are not called any more are
- * forgotten once there are many. */
+/* Upstreams come and go, so an address without a connection is removed once
+ * there are many. */
 static void
-peer_left(struct pgw_call_pool *pool, struct peer *peer)
+release_peer(struct pgw_call_pool *pool, struct peer *peer)
 {
     peer->connections--;
     if (peer->connections == 0 &&
@@ -88,14 +93,14 @@
         pgw_container_of(task, struct pgw_connection, reap);
 
     pgw_list_remove(&connection->in_pool);
-    peer_left(connection->pool, connection->peer);
+    release_peer(connection->pool, connection->peer);
     pgw_http_reader_dispose(&connection->reader);
     pgw_buffer_dispose(&connection->out);
     g_free(connection);
 }
 
 static void
-leave_idle(struct pgw_connection *connection)
+remove_from_idle(struct pgw_connection *connection)
 {
     if (pgw_list_is_linked(&connection->in_idle)) {
         pgw_list_remove(&connection->in_idle);
@@ -105,15 +110,15 @@
 }
 
 /*
- * Failure: a request is given up while its upstream's machine is suspended or
- * cut off, or before all of it was written. Symptom: the kernel goes on
- * sending it after an ordinary close, so that it arrives seconds later, for a
- * caller that has left or has its answer from elsewhere. What was not
- * acknowledged is dropped by a reset. Where all was, an ordinary close is
- * better: it is sent again until the peer has it.
+ * Failure: a request is cancelled while its upstream's machine is suspended or
+ * unreachable, or before all of it was written. Symptom: after an ordinary
+ * close the kernel continues to send it, so it arrives seconds later and runs
+ * for a caller that has disconnected or was answered by another upstream. A
+ * reset drops unacknowledged bytes. If there are none, an ordinary close is
+ * better: the kernel resends a FIN until the peer acknowledges it.
  */
 static void
-drop_unacked(const struct pgw_connection *connection)
+reset_if_unacked(const struct pgw_connection *connection)
 {
 #ifndef PGW_DISABLE_GATEWAY_UNACKED
     struct linger reset = {.l_onoff = 1, .l_linger = 0};
@@ -133,7 +138,7 @@
 #endif
 }
 
-/* Closes the socket at once and frees the memory from the loop, since the
+/* Closes the socket at once. The memory is freed from the loop, since the
  * connection's own callbacks may be on the stack. */
 static void
 connection_close(struct pgw_connection *connection)
@@ -143,9 +148,9 @@
     }
     connection->closed = true;
     connection->reader.stop = true;
-    leave_idle(connection);
+    remove_from_idle(connection);
     pgw_loop_fd_remove(connection->pool->loop, &connection->watch);
-    drop_unacked(connection);
+    reset_if_unacked(connection);
     close(connection->watch.fd);
     connection->reap.run = connection_reap;
     pgw_loop_post(connection->pool->loop, &connection->reap);
@@ -262,17 +267,17 @@
 };
 
 static void
-idle_due(struct pgw_timer *timer)
+on_idle_timeout(struct pgw_timer *timer)
 {
     connection_close(
         pgw_container_of(timer, struct pgw_connection, idle_timer));
 }
 
-/* The answer is complete. The connection is kept only when nothing odd was
- * seen on it: bytes behind the answer belong to no request, and bytes of the
- * request that were not yet sent would be taken for the next one. */
+/* The answer is complete. @clean: no bytes followed it. The connection is kept
+ * only in a consistent state: bytes after the answer belong to no request, and
+ * unsent bytes of the request would be read as part of the next one. */
 static void
-finish(struct pgw_connection *connection, bool clean)
+finish_call(struct pgw_connection *connection, bool clean)
 {
     struct pgw_call_pool *pool = connection->pool;
     struct pgw_call *call = detach(connection);
@@ -286,7 +291,7 @@
         connection->idle_since_us = pgw_now_us();
         pgw_list_append(&connection->peer->idle, &connection->in_idle);
         connection->peer->idle_count++;
-        connection->idle_timer.on_due = idle_due;
+        connection->idle_timer.on_due = on_idle_timeout;
         pgw_timer_start(pool->loop, &connection->idle_timer,
                         connection->keep_us);
     }
@@ -298,15 +303,17 @@
     }
 }
 
-/* Returns false when the connection must not be read on. */
+/* Parses received bytes; @data is NULL when the peer has closed. Returns false
+ * when the connection must not be read any further. */
 static bool
-take(struct pgw_connection *connection, const char *data, size_t size)
+parse_received(struct pgw_connection *connection, const char *data,
+               size_t size)
 {
-    size_t taken;
+    size_t consumed;
 
     while (size > 0 || data == NULL) {
         enum pgw_http_result result = pgw_http_reader_feed(
-            &taken, &connection->reader, data, data == NULL ? 0 : size);
+            &consumed, &connection->reader, data, data == NULL ? 0 : size);
 
         if (connection->closed || connection->call == NULL) {
             connection_close(connection);
@@ -320,7 +327,7 @@
             return false;
         }
         if (!connection->skipping) {
-            finish(connection, data != NULL && taken == size);
+            finish_call(connection, data != NULL && consumed == size);
             return false;
         }
         if (data == NULL) {
@@ -328,8 +335,8 @@
         }
         connection->skipping = false;
         pgw_http_reader_next(&connection->reader);
-        data += taken;
-        size -= taken;
+        data += consumed;
+        size -= consumed;
     }
     return true;
 }
@@ -344,7 +351,8 @@
         return;
     }
     if (connection->call == NULL) {
-        /* Closed while idle, or bytes that belong to no request. */
+        /* The peer closed an idle connection or sent bytes without a request.
+         */
         connection_close(connection);
         return;
     }
@@ -353,17 +361,17 @@
         return;
     }
     if (got > 0) {
-        take(connection, buffer, (size_t)got);
+        parse_received(connection, buffer, (size_t)got);
         return;
     }
-    /* An answer without a length ends here; any other is cut short. */
-    if (take(connection, NULL, 0) || connection->call != NULL) {
+    /* An answer without a length ends here; any other is incomplete. */
+    if (parse_received(connection, NULL, 0) || connection->call != NULL) {
         connection_fail(connection, PGW_CALL_CLOSED);
     }
 }
 
 static void
-connected(struct pgw_connection *connection)
+finish_connect(struct pgw_connection *connection)
 {
     int error = 0;
     socklen_t size = sizeof(error);
@@ -387,12 +395,13 @@
         pgw_container_of(watch, struct pgw_connection, watch);
 
     if (connection->connecting) {
-        connected(connection);
+        finish_connect(connection);
         if (connection->closed) {
             return;
         }
     }
-    /* A peer that refuses early answers before it closes: read first. */
+    /* A peer that rejects a request early answers before it closes, so the
+     * answer is read before a write can fail. */
     if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) {
         connection_read(connection);
         if (connection->closed) {
@@ -407,7 +416,7 @@
 }
 
 static void
-connect_due(struct pgw_timer *timer)
+on_connect_timeout(struct pgw_timer *timer)
 {
     connection_fail(pgw_container_of(timer, struct pgw_connection, idle_timer),
                     PGW_CALL_NO_CONNECTION);
@@ -432,7 +441,7 @@
         close(fd);
         return NULL;
     }
-    pgw_metric_counter_add(&connects, 1);
+    pgw_metric_counter_add(&opened_connections, 1);
     connection = g_new0(struct pgw_connection, 1);
     connection->watch.fd = fd;
     connection->watch.on_ready = connection_ready;
@@ -449,14 +458,14 @@
         connection_close(connection);
         return NULL;
     }
-    connection->idle_timer.on_due = connect_due;
+    connection->idle_timer.on_due = on_connect_timeout;
     pgw_timer_start(pool->loop, &connection->idle_timer,
                     pool->options.connect_timeout_us);
     return connection;
 }
 
 static struct peer *
-peer_get(struct pgw_call_pool *pool, const struct pgw_address *address)
+get_peer(struct pgw_call_pool *pool, const struct pgw_address *address)
 {
     char name[PGW_ADDRESS_TEXT_SIZE];
     struct peer *peer;
@@ -473,10 +482,11 @@
     return peer;
 }
 
-/* The most recently used one: the others get old and are closed. */
+/* Takes the most recently used connection, so that the others reach their idle
+ * timeout and are closed. */
 static struct pgw_connection *
-take_idle(struct peer *peer, const struct pgw_call_pool_options *options,
-          bool fresh)
+take_idle_connection(struct peer *peer,
+                     const struct pgw_call_pool_options *options, bool fresh)
 {
     struct pgw_connection *connection;
     uint64_t idle_us;
@@ -491,12 +501,12 @@
         (fresh && idle_us >= options->fresh_after_us)) {
         return NULL;
     }
-    leave_idle(connection);
+    remove_from_idle(connection);
     return connection;
 }
 
 static void
-call_due(struct pgw_timer *timer)
+on_call_timeout(struct pgw_timer *timer)
 {
     struct pgw_call *call = pgw_container_of(timer, struct pgw_call, timer);
 
@@ -507,9 +517,9 @@
 pgw_call_start(struct pgw_call *call, struct pgw_call_pool *pool,
                const struct pgw_call_options *options)
 {
-    struct peer *peer = peer_get(pool, options->address);
+    struct peer *peer = get_peer(pool, options->address);
     struct pgw_connection *connection =
-        take_idle(peer, &pool->options, options->fresh);
+        take_idle_connection(peer, &pool->options, options->fresh);
 
     call->reused = connection != NULL;
     call->sent = false;
@@ -527,13 +537,13 @@
     call->connection = connection;
     pgw_buffer_append(&connection->out, options->bytes, options->size);
     if (!connection->connecting && !connection_flush(connection)) {
-        /* The peer has closed it; its reset is read from the loop. */
+        /* The peer has closed the connection; the loop will see the reset. */
         pgw_buffer_consume(&connection->out,
                            pgw_buffer_size(&connection->out));
     }
     watch_events(connection);
     if (options->timeout_us > 0) {
-        call->timer.on_due = call_due;
+        call->timer.on_due = on_call_timeout;
         pgw_timer_start(pool->loop, &call->timer, options->timeout_us);
     }
     return true;
@@ -587,7 +597,7 @@
 {
     struct pgw_call_pool *pool = g_new0(struct pgw_call_pool, 1);
 
-    pgw_metric_register_counter(&connects);
+    pgw_metric_register_counter(&opened_connections);
     pool->loop = loop;
     pool->options = *options;
     pool->peers =
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -10,18 +10,18 @@
 /**
  * DOC: Outgoing HTTP calls over pooled connections
  *
- * A call sends bytes that the owner has made and reads one answer. Idle
- * connections are kept by address. Nothing is ever sent twice: a connection
- * that breaks fails its call, and the owner decides with @sent whether the
+ * A call sends a request that its owner has encoded and reads one answer. Idle
+ * connections are pooled by address. The pool never resends a request: a
+ * broken connection fails its call, and @sent tells the owner whether the
  * request may have run.
  */
 
 /**
- * enum pgw_call_failure - why a call has no whole answer
+ * enum pgw_call_failure - why a call has no complete answer
  * @PGW_CALL_NO_CONNECTION: no connection was established; nothing was sent
  * @PGW_CALL_CLOSED: the peer closed or reset the connection
- * @PGW_CALL_MALFORMED: what came is no answer
- * @PGW_CALL_TIMEOUT: the owner's deadline of the call passed
+ * @PGW_CALL_MALFORMED: the received bytes are not an HTTP answer
+ * @PGW_CALL_TIMEOUT: the timeout of the call expired
  */
 enum pgw_call_failure {
     PGW_CALL_NO_CONNECTION,
@@ -33,10 +33,10 @@
 struct pgw_call;
 
 /**
- * struct pgw_call_ops - what the owner of a call hears
- * @on_head: the head of the answer; false skips an answer that belongs to
- *   another request and waits for the next one
- * @on_body: a piece of the body
+ * struct pgw_call_ops - callbacks of a call's owner
+ * @on_head: the head of the answer has arrived; return false to skip an answer
+ *   that belongs to another request and to wait for the next one
+ * @on_body: a piece of the body has arrived
  * @on_done: the answer is complete; the call is over
  * @on_failed: there will be no complete answer; the call is over
  */
@@ -52,13 +52,13 @@
 
 /**
  * struct pgw_call - one call, embedded in its owner
- * @ops: the owner's callbacks; one of the last two ends the call
- * @connection: while the call runs, else NULL
- * @sent: some byte of the request was handed to the network
- * @reused: the connection had carried other calls before
- * @refused: the peer's machine said that nobody listens at its address
- * @answered: the head of the answer has come
- * @timer: the call's deadline
+ * @ops: the owner's callbacks; @on_done or @on_failed ends the call
+ * @connection: NULL unless the call is running
+ * @sent: at least one byte of the request was handed to the kernel
+ * @reused: the connection has carried other calls before
+ * @refused: the peer's machine refused the connection: no process listens
+ * @answered: the head of the answer has arrived
+ * @timer: the call's timeout
  */
 struct pgw_call {
     const struct pgw_call_ops *ops;
@@ -71,14 +71,15 @@
 };
 
 /**
- * struct pgw_call_options - how one call is made
- * @address: whom to call
- * @bytes: the whole request
+ * struct pgw_call_options - options of one call
+ * @address: address of the peer
+ * @bytes: the encoded request
  * @size: number of @bytes
- * @timeout_us: deadline of the whole call, 0 for none
- * @fresh: use a new connection: for calls whose loss on a connection that the
- *   peer has just closed cannot be made good
- * @no_body: the request is a HEAD
+ * @timeout_us: timeout of the whole call, 0 for none
+ * @fresh: use a new connection, or one that was idle only briefly: for
+ *   requests that must not be retried if the peer closes an idle connection
+ *   at the moment of the call
+ * @no_body: the request is a HEAD, so its answer has no body
  */
 struct pgw_call_options {
     const struct pgw_address *address;
@@ -91,12 +92,14 @@
 
 /**
  * struct pgw_call_pool_options - limits of a pool
- * @connect_timeout_us: longest wait for a connection
+ * @connect_timeout_us: longest time to establish a connection
  * @idle_us: how long an idle connection is kept
- * @fresh_after_us: an idle time after which @fresh calls get a new connection
- * @max_idle: idle connections kept for each address
+ * @fresh_after_us: idle time after which a connection is not used for calls
+ *   with &pgw_call_options.fresh
+ * @max_idle: most idle connections for each address
  * @head_limit: most bytes of an answer's head
- * @user_timeout_ms: unacknowledged data older than this breaks a connection
+ * @user_timeout_ms: TCP_USER_TIMEOUT: a connection with older unacknowledged
+ *   data is closed
  */
 struct pgw_call_pool_options {
     uint64_t connect_timeout_us;
@@ -108,11 +111,11 @@
 };
 
 /*
- * 400 ms for a connection: a round trip is a few milliseconds at most, a lost
- * opening packet is sent again after a second, and by then another upstream
- * has long been asked. 4 s of idle time: upstreams announce keep-alive times
- * of 5 s and more. 250 ms for calls that may not be repeated: a server that
- * closes an idle connection does so after whole seconds.
+ * 400 ms to connect: a round trip takes a few milliseconds at most, and a lost
+ * SYN is resent only after a second, too late compared to a retry at another
+ * upstream. 4 s of idle time: upstreams announce keep-alive times of 5 s and
+ * more. 250 ms for requests that must not be retried: servers close idle
+ * connections after whole seconds.
  */
 #define PGW_CALL_POOL_OPTIONS_INIT                                            \
     {                                                                         \
@@ -121,7 +124,7 @@
         .user_timeout_ms = 2500                                               \
     }
 
-/** pgw_call_pool_new() - an empty pool on a loop */
+/** pgw_call_pool_new() - create an empty pool on a loop */
 struct pgw_call_pool *
 pgw_call_pool_new(struct pgw_loop *loop,
                   const struct pgw_call_pool_options *options);
@@ -132,21 +135,22 @@
 /**
  * pgw_call_start() - send a request
  * @call: ops set, otherwise zeroed or ended
- * @pool: where connections come from
- * @options: read during the call only
+ * @pool: pool of connections
+ * @options: need not outlive this function
  *
- * The answer comes through the ops, never before this returns.
+ * The ops are called from the loop, never before this returns.
  *
- * Return: false when no socket can be had; the call is not started then.
+ * Return: false when no connection can be opened; the call is not started
+ * then.
  */
 bool pgw_call_start(struct pgw_call *call, struct pgw_call_pool *pool,
                     const struct pgw_call_options *options);
 
 /** pgw_call_cancel() - close the call's connection; no callback follows, and
- * what has not reached the peer's machine never will */
+ * bytes that the peer has not acknowledged are not resent */
 void pgw_call_cancel(struct pgw_call *call);
 
-/** pgw_call_is_running() - started and not over */
+/** pgw_call_is_running() - whether the call has started and not ended */
 static inline bool
 pgw_call_is_running(const struct pgw_call *call)
 {
@@ -154,8 +158,7 @@
 }
 
 /**
- * struct pgw_call_socket_state - what the socket of a running call tells, for
- * logs
+ * struct pgw_call_socket_state - state of a running call's socket, for logs
  * @port: local port, 0: not known
  * @unacked: bytes of the request that the peer's machine has not acknowledged,
  *   -1: not known
@@ -165,11 +168,11 @@
     int unacked;
 };
 
-/** pgw_call_socket_state() - read it; the call must be running */
+/** pgw_call_socket_state() - get the state; the call must be running */
 void pgw_call_socket_state(struct pgw_call_socket_state *out,
                            const struct pgw_call *call);
 
-/** pgw_call_pause() - stop or go on reading the answer */
+/** pgw_call_pause() - stop or continue reading the answer */
 void pgw_call_pause(struct pgw_call *call, bool pause);
 
 #endif
--- a/src/gateway/caller.c
+++ b/src/gateway/caller.c
@@ -11,33 +11,34 @@
 
 #define READ_SIZE 65536
 #define LISTEN_BACKLOG 1024
-/* Accepts of one turn: a burst of connections must not hold up answers. */
+/* Most accepts in one turn of the loop, so that a burst of connections does
+ * not delay answers. */
 #define ACCEPT_BATCH 32
-/* What a caller may send ahead while its request is being answered. */
-#define AHEAD_LIMIT ((size_t)64 * 1024)
-/* A caller that leaves so much of its answer untaken has stopped reading; its
+/* Bytes that are buffered of pipelined requests. */
+#define PIPELINE_LIMIT ((size_t)64 * 1024)
+/* A caller with more buffered output than this has stopped reading; its
  * connection is closed, which bounds the memory for slow callers. */
 #define OUT_LIMIT ((size_t)1024 * 1024)
-/* A request whose body has a length up to this is read with its buffer made
- * at once. */
+/* Most bytes that are reserved for an announced body before it arrives. */
 #define BODY_RESERVE ((size_t)256 * 1024)
-/* Time for a caller to read an error after which the connection closes. */
+/* Time for a caller to read the last answer after the half-close. */
 #define LINGER_US 500000
 #define USER_TIMEOUT_MS 5000
 
-static struct pgw_metric_counter accepted = {
+static struct pgw_metric_counter accepted_connections = {
     .name = "pgw_caller_connections_total",
     .help = "Connections accepted from callers",
 };
-static struct pgw_metric_gauge open_callers = {
+static struct pgw_metric_gauge open_connections = {
     .name = "pgw_caller_connections",
     .help = "Connections of callers that are open",
 };
 
-static struct pgw_metric_histogram gone_late = {
+static struct pgw_metric_histogram gone_unnoticed = {
     .name = "pgw_caller_gone_late_seconds",
-    .help = "How long a caller that left before its answer was complete may "
-            "have gone unnoticed",
+    .help =
+        "How long the disconnect of a caller whose answer was not complete "
+        "may have gone unnoticed",
 };
 
 struct pgw_caller_server {
@@ -48,13 +49,13 @@
     struct pgw_caller_limits limits;
     struct pgw_list callers;
     char *buffer;
-    unsigned busy;
+    unsigned request_count;
     uint16_t port;
     bool listening;
     bool draining;
 };
 
-static void process(struct pgw_caller *caller);
+static void parse_requests(struct pgw_caller *caller);
 
 static void
 caller_reap(struct pgw_task *task)
@@ -71,11 +72,11 @@
 }
 
 static void
-set_started(struct pgw_caller *caller, bool started)
+set_request_active(struct pgw_caller *caller, bool request_is_active)
 {
-    if (caller->started != started) {
-        caller->started = started;
-        caller->server->busy += started ? 1 : -1;
+    if (caller->request_is_active != request_is_active) {
+        caller->request_is_active = request_is_active;
+        caller->server->request_count += request_is_active ? 1 : -1;
     }
 }
 
@@ -89,8 +90,8 @@
     }
     caller->closed = true;
     caller->reader.stop = true;
-    set_started(caller, false);
-    pgw_metric_gauge_add(&open_callers, -1);
+    set_request_active(caller, false);
+    pgw_metric_gauge_add(&open_connections, -1);
     pgw_timer_stop(server->loop, &caller->timer);
     pgw_loop_fd_remove(server->loop, &caller->watch);
     close(caller->watch.fd);
@@ -100,15 +101,16 @@
 }
 
 static void
-caller_gone(struct pgw_caller *caller)
+handle_disconnect(struct pgw_caller *caller)
 {
-    bool busy = caller->busy;
+    bool is_waiting = caller->request_is_complete;
 
-    caller->busy = false;
+    caller->request_is_complete = false;
     caller_close(caller);
-    if (busy) {
+    if (is_waiting) {
         caller->gone_unnoticed_us = pgw_loop_late_us(caller->server->loop);
-        pgw_metric_histogram_record_us(&gone_late, caller->gone_unnoticed_us);
+        pgw_metric_histogram_record_us(&gone_unnoticed,
+                                       caller->gone_unnoticed_us);
         caller->server->ops->on_gone(caller, caller->server->context);
     }
 }
@@ -118,7 +120,8 @@
 {
     uint32_t events = EPOLLRDHUP;
 
-    if (pgw_buffer_size(&caller->in) < AHEAD_LIMIT && !caller->half_closed) {
+    if (pgw_buffer_size(&caller->in) < PIPELINE_LIMIT &&
+        !caller->half_closed) {
         events |= EPOLLIN;
     }
     if (pgw_buffer_size(&caller->out) > 0) {
@@ -147,7 +150,8 @@
             if (errno == EAGAIN || errno == EINTR) {
                 break;
             }
-            /* Found out from the loop: the owner may be writing. */
+            /* The loop reports the disconnect, since the owner may be within
+             * a write now. */
             shutdown(caller->watch.fd, SHUT_RDWR);
             pgw_buffer_consume(&caller->out, pgw_buffer_size(&caller->out));
             return;
@@ -156,10 +160,10 @@
     }
 }
 
-/* Everything was answered and the connection is to end: half-close, so that
- * the caller reads the answer before it sees the end. */
+/* Half-closes the connection after its last answer, so that the caller can
+ * read the answer before the connection is closed. */
 static void
-finish_closing(struct pgw_caller *caller)
+half_close(struct pgw_caller *caller)
 {
     shutdown(caller->watch.fd, SHUT_WR);
     pgw_timer_start(caller->server->loop, &caller->timer, LINGER_US);
@@ -173,9 +177,9 @@
 
     pgw_log_info("caller_error", "status=%u head_bytes=%zu", status,
                  caller->reader.head_size);
-    caller->refused = true;
-    caller->close_after = true;
-    set_started(caller, true);
+    caller->discards_input = true;
+    caller->close_after_answer = true;
+    set_request_active(caller, true);
     pgw_caller_begin(caller, status, "Content-Type: application/json\r\n",
                      (int64_t)strlen(body));
     pgw_caller_write(caller, body, strlen(body));
@@ -231,9 +235,9 @@
         pgw_container_of(reader, struct pgw_caller, reader);
 
     pgw_timer_stop(caller->server->loop, &caller->timer);
-    caller->busy = true;
+    caller->request_is_complete = true;
     caller->head = &reader->head;
-    caller->close_after = !reader->head.keep_alive;
+    caller->close_after_answer = !reader->head.keep_alive;
 }
 
 static const struct pgw_http_reader_ops reader_ops = {
@@ -242,31 +246,31 @@
     .on_done = on_done,
 };
 
-/* Parses what has been received until a request is complete. */
+/* Parses received bytes until a request is complete. */
 static void
-process(struct pgw_caller *caller)
+parse_requests(struct pgw_caller *caller)
 {
     struct pgw_caller_server *server = caller->server;
 
-    while (!caller->closed && !caller->busy && !caller->refused &&
-           pgw_buffer_size(&caller->in) > 0) {
+    while (!caller->closed && !caller->request_is_complete &&
+           !caller->discards_input && pgw_buffer_size(&caller->in) > 0) {
         enum pgw_http_result result;
-        size_t taken;
+        size_t consumed;
 
-        if (!caller->started) {
+        if (!caller->request_is_active) {
             caller->received_at_us = pgw_now_us();
             caller->reader.head_limit = server->limits.head_bytes;
-            set_started(caller, true);
+            set_request_active(caller, true);
             start_timer(caller, server->limits.head_timeout_ms);
         }
         result =
-            pgw_http_reader_feed(&taken, &caller->reader,
+            pgw_http_reader_feed(&consumed, &caller->reader,
                                  (const char *)pgw_buffer_head(&caller->in),
                                  pgw_buffer_size(&caller->in));
-        if (caller->closed || caller->refused) {
+        if (caller->closed || caller->discards_input) {
             return;
         }
-        pgw_buffer_consume(&caller->in, taken);
+        pgw_buffer_consume(&caller->in, consumed);
         if (result == PGW_HTTP_DONE) {
             server->ops->on_request(caller, server->context);
         }
@@ -283,20 +287,20 @@
 caller_read(struct pgw_caller *caller)
 {
     char *buffer = caller->server->buffer;
-    ssize_t got = recv(caller->watch.fd, buffer, READ_SIZE, 0);
+    ssize_t received = recv(caller->watch.fd, buffer, READ_SIZE, 0);
 
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (got <= 0) {
-        caller_gone(caller);
+    if (received <= 0) {
+        handle_disconnect(caller);
         return;
     }
-    if (caller->refused) {
-        return; /* the rest of what was refused is thrown away */
+    if (caller->discards_input) {
+        return; /* the rest of a rejected request is dropped */
     }
-    pgw_buffer_append(&caller->in, buffer, (size_t)got);
-    process(caller);
+    pgw_buffer_append(&caller->in, buffer, (size_t)received);
+    parse_requests(caller);
 }
 
 static void
@@ -306,13 +310,13 @@
         pgw_container_of(watch, struct pgw_caller, watch);
 
     if ((events & (EPOLLERR | EPOLLHUP)) != 0) {
-        caller_gone(caller);
+        handle_disconnect(caller);
         return;
     }
-    /* A caller that closes its side has left: what waits for it would run
-     * for nobody. */
-    if ((events & EPOLLRDHUP) != 0 && caller->busy) {
-        caller_gone(caller);
+    /* A caller that half-closes counts as disconnected: nobody would receive
+     * the answer. */
+    if ((events & EPOLLRDHUP) != 0 && caller->request_is_complete) {
+        handle_disconnect(caller);
         return;
     }
     if ((events & (EPOLLIN | EPOLLRDHUP)) != 0) {
@@ -320,38 +324,39 @@
     }
     if (!caller->closed && (events & EPOLLOUT) != 0) {
         caller_flush(caller);
-        if (!caller->busy && caller->close_after && !caller->closed &&
-            pgw_buffer_size(&caller->out) == 0) {
-            finish_closing(caller);
+        if (!caller->request_is_complete && caller->close_after_answer &&
+            !caller->closed && pgw_buffer_size(&caller->out) == 0) {
+            half_close(caller);
         }
     }
     watch_events(caller);
 }
 
 static void
-timer_due(struct pgw_timer *timer)
+on_timeout(struct pgw_timer *timer)
 {
     struct pgw_caller *caller =
         pgw_container_of(timer, struct pgw_caller, timer);
 
-    if (caller->started && !caller->answering && !caller->refused) {
-        /* Half a request: say so, then close. */
+    if (caller->request_is_active && !caller->answer_is_begun &&
+        !caller->discards_input) {
+        /* The request is incomplete: answer with an error, then close. */
         caller->reader.stop = true;
         answer_error(caller, 408);
         return;
     }
-    caller_gone(caller);
+    handle_disconnect(caller);
 }
 
 static void
-next_run(struct pgw_task *task)
+run_next(struct pgw_task *task)
 {
     struct pgw_caller *caller =
         pgw_container_of(task, struct pgw_caller, next);
 
-    caller->next_posted = false;
-    if (!caller->closed && !caller->busy) {
-        process(caller);
+    caller->next_is_posted = false;
+    if (!caller->closed && !caller->request_is_complete) {
+        parse_requests(caller);
         watch_events(caller);
     }
 }
@@ -367,10 +372,10 @@
     if (caller->closed) {
         return;
     }
-    caller->answering = true;
+    caller->answer_is_begun = true;
     caller->chunked = length < 0;
     if (server->draining) {
-        caller->close_after = true;
+        caller->close_after_answer = true;
     }
     size = g_snprintf(head, sizeof(head), "HTTP/1.1 %u %s\r\n", status,
                       http_status_str((enum http_status)status));
@@ -385,7 +390,7 @@
                           "Content-Length: %" G_GINT64_FORMAT "\r\n", length);
     }
     pgw_buffer_append(&caller->out, head, (size_t)size);
-    if (caller->close_after) {
+    if (caller->close_after_answer) {
         size = g_snprintf(head, sizeof(head), "Connection: close\r\n\r\n");
     }
     else {
@@ -431,33 +436,34 @@
         pgw_buffer_append(&caller->out, "0\r\n\r\n", 5);
     }
     caller_flush(caller);
-    caller->busy = false;
-    caller->answering = false;
+    caller->request_is_complete = false;
+    caller->answer_is_begun = false;
     caller->owner = NULL;
-    set_started(caller, false);
+    set_request_active(caller, false);
     pgw_buffer_dispose(&caller->body);
     /*
-     * Failure: a planned stop has begun, and a stream whose head went out
-     * before it ends on a kept connection. Symptom: the caller's next request
-     * comes on that connection, is taken, and is cut off when the process
-     * ends. From the moment at which no new connection is taken none is kept.
+     * Failure: a graceful drain begins while a stream runs whose head did not
+     * announce the end of the connection, so the connection is kept alive.
+     * Symptom: the caller's next request is accepted on it and lost when the
+     * process ends. Once the server has stopped listening, every connection is
+     * closed after its answer.
      */
     if (!caller->server->listening) {
-        caller->close_after = true;
+        caller->close_after_answer = true;
     }
-    if (caller->close_after) {
-        caller->refused = true;
+    if (caller->close_after_answer) {
+        caller->discards_input = true;
         if (pgw_buffer_size(&caller->out) == 0) {
-            finish_closing(caller);
+            half_close(caller);
         }
         watch_events(caller);
         return;
     }
     pgw_http_reader_next(&caller->reader);
     start_timer(caller, caller->server->limits.idle_timeout_ms);
-    if (pgw_buffer_size(&caller->in) > 0 && !caller->next_posted) {
-        caller->next_posted = true;
-        caller->next.run = next_run;
+    if (pgw_buffer_size(&caller->in) > 0 && !caller->next_is_posted) {
+        caller->next_is_posted = true;
+        caller->next.run = run_next;
         pgw_loop_post(caller->server->loop, &caller->next);
     }
     watch_events(caller);
@@ -471,10 +477,11 @@
     if (caller->closed) {
         return;
     }
-    caller->busy = false;
+    caller->request_is_complete = false;
     caller->owner = NULL;
-    /* What was relayed so far reaches the caller; the end then shows that
-     * the answer is not whole. A reset is only for a body without chunks. */
+    /* An ordinary close delivers the bytes relayed so far, and the missing
+     * last chunk shows that the answer is incomplete. A body without chunks
+     * needs a reset for this. */
     if (!caller->chunked) {
         setsockopt(caller->watch.fd, SOL_SOCKET, SO_LINGER, &reset,
                    sizeof(reset));
@@ -483,7 +490,7 @@
 }
 
 static void
-accept_one(struct pgw_caller_server *server, int fd)
+accept_caller(struct pgw_caller_server *server, int fd)
 {
     struct pgw_caller *caller = g_new0(struct pgw_caller, 1);
 
@@ -492,12 +499,12 @@
     caller->watch.fd = fd;
     caller->watch.on_ready = caller_ready;
     caller->events = EPOLLIN | EPOLLRDHUP;
-    caller->timer.on_due = timer_due;
+    caller->timer.on_due = on_timeout;
     pgw_http_reader_init(&caller->reader, false, server->limits.head_bytes,
                          &reader_ops);
     pgw_list_append(&server->callers, &caller->in_server);
-    pgw_metric_counter_add(&accepted, 1);
-    pgw_metric_gauge_add(&open_callers, 1);
+    pgw_metric_counter_add(&accepted_connections, 1);
+    pgw_metric_gauge_add(&open_connections, 1);
     if (!pgw_loop_fd_add(server->loop, &caller->watch, caller->events, NULL)) {
         caller_close(caller);
         return;
@@ -521,7 +528,7 @@
             }
             return;
         }
-        accept_one(server, fd);
+        accept_caller(server, fd);
     }
 }
 
@@ -570,9 +577,9 @@
 {
     struct pgw_caller_server *server = g_new0(struct pgw_caller_server, 1);
 
-    pgw_metric_register_counter(&accepted);
-    pgw_metric_register_gauge(&open_callers);
-    pgw_metric_register_histogram(&gone_late);
+    pgw_metric_register_counter(&accepted_connections);
+    pgw_metric_register_gauge(&open_connections);
+    pgw_metric_register_histogram(&gone_unnoticed);
     server->loop = loop;
     server->ops = ops;
     server->context = context;
@@ -630,7 +637,7 @@
         struct pgw_caller *caller =
             pgw_container_of(link, struct pgw_caller, in_server);
 
-        if (!caller->started && pgw_buffer_size(&caller->out) == 0) {
+        if (!caller->request_is_active && pgw_buffer_size(&caller->out) == 0) {
             caller_close(caller);
         }
     }
@@ -639,7 +646,7 @@
 unsigned
 pgw_caller_server_request_count(const struct pgw_caller_server *server)
 {
-    return server->busy;
+    return server->request_count;
 }
 
 void
--- a/src/gateway/caller.h
+++ b/src/gateway/caller.h
@@ -10,9 +10,9 @@
 /**
  * DOC: Connections of callers
  *
- * Reads one request at a time, with its whole body, hands it to the owner and
- * writes what the owner answers. The next request of a connection is read
- * after the answer to the one before. All on one loop's thread.
+ * Reads one request at a time with its complete body, hands it to the owner
+ * and writes the owner's answer. The next request of a connection is parsed
+ * after the answer to the previous one. Everything runs on one loop's thread.
  */
 
 struct pgw_caller_server;
@@ -21,11 +21,14 @@
  * struct pgw_caller - one connection of a caller
  * @server: the server that accepted it
  * @head: head of the current request, valid until the answer ends
- * @body: its whole body
+ * @body: its complete body
  * @owner: the owner's data for the current request
  * @received_at_us: when the first byte of the request was read
- * @gone_unnoticed_us: once it is gone: for how long that may have gone
- * unnoticed
+ * @gone_unnoticed_us: after a disconnect: how long it may have gone unnoticed
+ * @request_is_active: a request is being read or answered
+ * @request_is_complete: it was received and handed to the owner
+ * @answer_is_begun: the head of the answer was written
+ * @discards_input: the connection takes no further request
  */
 struct pgw_caller {
     struct pgw_caller_server *server;
@@ -34,7 +37,7 @@
     void *owner;
     uint64_t received_at_us;
     uint64_t gone_unnoticed_us;
-    /* the rest belongs to caller.c */
+    /* The members below are private to caller.c. */
     struct pgw_loop_fd watch;
     struct pgw_list in_server;
     struct pgw_task reap;
@@ -45,23 +48,24 @@
     struct pgw_timer timer;
     size_t body_limit;
     uint32_t events;
-    bool started;
-    bool busy;
+    bool request_is_active;
+    bool request_is_complete;
     bool chunked;
-    bool close_after;
-    bool answering;
-    bool refused;
+    bool close_after_answer;
+    bool answer_is_begun;
+    bool discards_input;
     bool half_closed;
-    bool next_posted;
+    bool next_is_posted;
     bool closed;
 };
 
 /**
- * struct pgw_caller_ops - what the owner of the server does
- * @on_request: a whole request; answer it now or later
- * @on_gone: the caller went away before the answer was complete; the caller
- *   must not be used after this
- * @render_error: makes the body of an error that the server itself answers
+ * struct pgw_caller_ops - callbacks of the server's owner
+ * @on_request: a complete request has arrived; answer it now or later
+ * @on_gone: the caller has disconnected before the answer was complete; the
+ *   &struct pgw_caller must not be used after this
+ * @render_error: return the body of an error answer of the server itself, to
+ *   be freed with g_free()
  */
 struct pgw_caller_ops {
     void (*on_request)(struct pgw_caller *caller, void *context);
@@ -70,11 +74,12 @@
 };
 
 /**
- * struct pgw_caller_limits - what callers may do; may change at any time
+ * struct pgw_caller_limits - limits for callers; may change at any time
  * @head_bytes: most bytes of a head
  * @body_bytes: most bytes of a body
  * @head_timeout_ms: longest time from the first byte to the end of the head
- * @body_timeout_ms: longest time from there to the end of the body
+ * @body_timeout_ms: longest time from the end of the head to the end of the
+ *   body
  * @idle_timeout_ms: longest time between two requests
  */
 struct pgw_caller_limits {
@@ -85,8 +90,8 @@
     uint32_t idle_timeout_ms;
 };
 
-/* What holds before a configuration says otherwise: 16 KB of head and 4 MB of
- * body are what browsers and engines commonly take. */
+/* Limits until a configuration sets others: 16 KB of head and 4 MB of body are
+ * common limits of browsers and engines. */
 #define PGW_CALLER_LIMITS_INIT                                                \
     {                                                                         \
         .head_bytes = 16384, .body_bytes = 4194304, .head_timeout_ms = 3000,  \
@@ -95,8 +100,8 @@
 
 /**
  * pgw_caller_server_new() - listen and serve
- * @loop: serves it
- * @address: the address; port 0 picks a free one
+ * @loop: loop on which the server runs
+ * @address: the address; port 0 selects a free port
  * @ops: must outlive the server
  * @context: handed to the ops
  * @error: %PGW_ERROR_IO
@@ -106,25 +111,28 @@
                       const struct pgw_caller_ops *ops, void *context,
                       GError **error);
 
-/** pgw_caller_server_port() - the port that it listens on */
+/** pgw_caller_server_port() - port on which the server listens */
 uint16_t pgw_caller_server_port(const struct pgw_caller_server *server);
 
-/** pgw_caller_server_set_limits() - for requests that begin from now on */
+/** pgw_caller_server_set_limits() - set limits for all requests that begin
+ * after this */
 void pgw_caller_server_set_limits(struct pgw_caller_server *server,
                                   const struct pgw_caller_limits *limits);
 
-/** pgw_caller_server_pause() - connections wait in the kernel meanwhile */
+/** pgw_caller_server_pause() - stop or continue accepting; meanwhile
+ * connections wait in the listen backlog */
 void pgw_caller_server_pause(struct pgw_caller_server *server, bool paused);
 
 /**
- * pgw_caller_server_drain() - end kept connections as they become idle
+ * pgw_caller_server_drain() - stop reusing connections
  *
- * From now on each answer ends its connection. Connections that are idle stay
- * open until pgw_caller_server_close_idle().
+ * From now on each connection is closed after its answer. Idle connections
+ * stay open until pgw_caller_server_close_idle().
  */
 void pgw_caller_server_drain(struct pgw_caller_server *server);
 
-/** pgw_caller_server_close_idle() - accept no more and close idle ones */
+/** pgw_caller_server_close_idle() - stop accepting and close idle connections
+ */
 void pgw_caller_server_close_idle(struct pgw_caller_server *server);
 
 /** pgw_caller_server_request_count() - number of requests being read or
@@ -132,31 +140,32 @@
 unsigned
 pgw_caller_server_request_count(const struct pgw_caller_server *server);
 
-/** pgw_caller_server_free() - close everything; no callbacks follow */
+/** pgw_caller_server_free() - close all connections; no callbacks follow */
 void pgw_caller_server_free(struct pgw_caller_server *server);
 
 /**
  * pgw_caller_begin() - write the head of an answer
  * @caller: the caller
  * @status: HTTP status
- * @fields: whole header lines, each with its CRLF; neither framing nor
- *   Connection, which the server adds
- * @length: bytes of the body, or -1: the body is written in chunks
+ * @fields: complete header lines, each with its CRLF, without the fields for
+ *   framing and the connection, which the server adds
+ * @length: bytes of the body, or -1: the body is sent in chunks
  */
 void pgw_caller_begin(struct pgw_caller *caller, unsigned status,
                       const char *fields, int64_t length);
 
-/** pgw_caller_write() - a piece of the body */
+/** pgw_caller_write() - write a piece of the body */
 void pgw_caller_write(struct pgw_caller *caller, const void *data,
                       size_t size);
 
-/** pgw_caller_end() - the answer is complete; reads the next request */
+/** pgw_caller_end() - complete the answer and read the next request */
 void pgw_caller_end(struct pgw_caller *caller);
 
-/** pgw_caller_abort() - the answer ends early: close so that it shows */
+/** pgw_caller_abort() - close the connection such that the caller sees that
+ * the answer is incomplete */
 void pgw_caller_abort(struct pgw_caller *caller);
 
-/** pgw_caller_pending() - bytes written and not yet taken by the caller */
+/** pgw_caller_pending() - bytes of the answer that are still buffered */
 static inline size_t
 pgw_caller_pending(const struct pgw_caller *caller)
 {
--- a/src/gateway/event_stream.c
+++ b/src/gateway/event_stream.c
@@ -1,9 +1,9 @@
 #include "gateway/event_stream.h"
 #include <string.h>
 
-/* Reads the id of one event, whose lines end in LF or CRLF. */
+/* Reads the id of a complete event and counts it. Lines end in LF or CRLF. */
 static void
-note_event(struct pgw_event_stream *stream, const char *event, size_t size)
+parse_event(struct pgw_event_stream *stream, const char *event, size_t size)
 {
     const char *end = event + size;
 
@@ -25,9 +25,10 @@
     stream->events++;
 }
 
-/* Offset behind the blank line that ends the first event, 0 without one. */
+/* Returns the offset after the blank line that ends the first event, or 0 if
+ * no event is complete. */
 static size_t
-event_end(const char *data, size_t size, size_t from)
+find_event_end(const char *data, size_t size, size_t from)
 {
     for (size_t i = from; i + 1 < size; i++) {
         if (data[i] != '\n') {
@@ -49,28 +50,31 @@
 {
     const char *head;
     size_t total;
-    size_t whole = 0;
+    size_t complete_size = 0;
 
     pgw_buffer_append(&stream->pending, data, size);
     head = (const char *)pgw_buffer_head(&stream->pending);
     total = pgw_buffer_size(&stream->pending);
     for (;;) {
-        size_t from = stream->scanned > whole ? stream->scanned - whole : 0;
-        size_t end = event_end(head + whole, total - whole, from);
+        size_t from = stream->scanned > complete_size
+                          ? stream->scanned - complete_size
+                          : 0;
+        size_t end =
+            find_event_end(head + complete_size, total - complete_size, from);
 
         if (end == 0) {
             break;
         }
-        note_event(stream, head + whole, end);
-        whole += end;
+        parse_event(stream, head + complete_size, end);
+        complete_size += end;
     }
-    /* The last two bytes may be the beginning of an end. */
-    stream->scanned = MAX(whole, total > 2 ? total - 2 : 0);
-    if (whole == 0 && total > PGW_EVENT_SIZE_MAX) {
+    /* The last two bytes may be the start of an event's end. */
+    stream->scanned = MAX(complete_size, total > 2 ? total - 2 : 0);
+    if (complete_size == 0 && total > PGW_EVENT_SIZE_MAX) {
         stream->out_of_order = true;
         return total;
     }
-    return whole;
+    return complete_size;
 }
 
 void
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -6,25 +6,26 @@
 #include <stdint.h>
 
 /**
- * DOC: Whole events of a text/event-stream
+ * DOC: Splits a text/event-stream into complete events
  *
- * An upstream may break off in the middle of an event. What reaches the
- * caller is cut at the ends of events, so that a run that resumes elsewhere
- * goes on at an event's border and no event is made of two halves.
+ * A connection to an upstream may break within an event. The caller gets only
+ * complete events, so that a run can resume at another upstream after the last
+ * event and no event consists of parts from two runs.
  */
 
-/* An event larger than this is not one of a language model's answer; it is
- * passed on in pieces and the answer can no longer be resumed. */
+/* No event of a language model's answer is larger than this. A larger one is
+ * returned in pieces, and the answer can no longer be resumed. */
 #define PGW_EVENT_SIZE_MAX ((size_t)256 * 1024)
 
 /**
  * struct pgw_event_stream - state of one answer
- * @pending: bytes of the event that is not complete
- * @scanned: bytes of @pending that hold no end of an event
+ * @pending: bytes that were not yet consumed
+ * @scanned: bytes of @pending that were searched for the end of an event
  * @last_id: id of the last complete event
  * @has_id: some event had an id
  * @events: number of complete events
- * @out_of_order: an id did not grow
+ * @out_of_order: an id is not larger than the one before it, or an event
+ *   exceeds %PGW_EVENT_SIZE_MAX
  */
 struct pgw_event_stream {
     struct pgw_buffer pending;
@@ -36,22 +37,22 @@
 };
 
 /**
- * pgw_event_stream_feed() - take bytes and say how much may be passed on
+ * pgw_event_stream_feed() - add received bytes and find complete events
  * @stream: the state
  * @data: received bytes
- * @size: their number
+ * @size: number of bytes
  *
- * Return: bytes at the front of @stream->pending that are whole events; the
- * caller passes them on and consumes them with pgw_event_stream_consume().
+ * Return: number of bytes at the front of @stream->pending that are complete
+ * events; the caller relays them and calls pgw_event_stream_consume().
  */
 size_t pgw_event_stream_feed(struct pgw_event_stream *stream, const void *data,
                              size_t size);
 
-/** pgw_event_stream_consume() - drop bytes that were passed on */
+/** pgw_event_stream_consume() - remove bytes that were relayed */
 void pgw_event_stream_consume(struct pgw_event_stream *stream, size_t size);
 
-/** pgw_event_stream_discard_partial() - drop the unfinished event of a lost
- * run */
+/** pgw_event_stream_discard_partial() - drop the incomplete event of a run
+ * that has ended */
 void pgw_event_stream_discard_partial(struct pgw_event_stream *stream);
 
 /** pgw_event_stream_dispose() - free the pending bytes */
--- a/src/gateway/http_reader.c
+++ b/src/gateway/http_reader.c
@@ -92,7 +92,7 @@
 }
 
 static int
-grow_head(struct pgw_http_reader *reader, size_t size)
+count_head_bytes(struct pgw_http_reader *reader, size_t size)
 {
     reader->head_size += size;
     if (reader->head_size > reader->head_limit) {
@@ -108,7 +108,7 @@
     struct pgw_http_reader *reader = reader_of(parser);
 
     g_string_append_len(reader->head.text, data, (gssize)size);
-    return grow_head(reader, size);
+    return count_head_bytes(reader, size);
 }
 
 static void
@@ -134,7 +134,7 @@
     struct pgw_http_head *head = &reader->head;
 
     if (reader->head_done) {
-        return 0; /* trailers concern one connection only */
+        return 0; /* trailers are not forwarded */
     }
     if (reader->in_value || head->count == 0) {
         end_value(reader);
@@ -149,7 +149,7 @@
         reader->in_value = false;
     }
     g_string_append_len(head->text, data, (gssize)size);
-    return grow_head(reader, size);
+    return count_head_bytes(reader, size);
 }
 
 static int
@@ -167,7 +167,7 @@
         head->values[head->count - 1] = (uint32_t)head->text->len;
     }
     g_string_append_len(head->text, data, (gssize)size);
-    return grow_head(reader, size + 4);
+    return count_head_bytes(reader, size + 4);
 }
 
 static bool
@@ -176,10 +176,11 @@
     return parser->type == HTTP_RESPONSE && parser->status_code < 200;
 }
 
-/* The parser library may take a space before the colon for a part of the name;
- * others then disagree on what the field is, which hides requests. */
+/* The parser library may accept a space before the colon as part of the name.
+ * Other implementations then see a different field, which allows request
+ * smuggling. */
 static bool
-is_token(const char *name)
+is_field_name(const char *name)
 {
     return *name != '\0' && strpbrk(name, " \t\r\n:") == NULL;
 }
@@ -195,7 +196,7 @@
         if (head->values[i] == 0) {
             head->values[i] = (uint32_t)head->text->len;
         }
-        if (!is_token(pgw_http_head_name(head, i))) {
+        if (!is_field_name(pgw_http_head_name(head, i))) {
             return -1;
         }
     }
@@ -294,20 +295,20 @@
 }
 
 enum pgw_http_result
-pgw_http_reader_feed(size_t *taken, struct pgw_http_reader *reader,
+pgw_http_reader_feed(size_t *consumed, struct pgw_http_reader *reader,
                      const char *data, size_t size)
 {
-    static const char nothing[1];
+    static const char no_data[1];
     size_t total = 0;
 
     do {
         enum http_errno error;
 
         total += http_parser_execute(&reader->parser, &settings,
-                                     data == NULL ? nothing : data + total,
+                                     data == NULL ? no_data : data + total,
                                      size - total);
         error = HTTP_PARSER_ERRNO(&reader->parser);
-        *taken = total;
+        *consumed = total;
         if (error != HPE_OK && error != HPE_PAUSED) {
             return reader->too_large ? PGW_HTTP_TOO_LARGE : PGW_HTTP_BAD;
         }
@@ -320,7 +321,7 @@
             }
             return PGW_HTTP_DONE;
         }
-        /* 1xx says nothing about the request's outcome; the answer follows. */
+        /* An interim answer (1xx) is skipped; the final answer follows. */
         bool no_body = reader->no_body;
 
         pgw_http_reader_next(reader);
--- a/src/gateway/http_reader.h
+++ b/src/gateway/http_reader.h
@@ -10,32 +10,32 @@
 /**
  * DOC: Incremental reader of HTTP/1.1 messages
  *
- * Bytes of a connection go in, heads and pieces of bodies come out. The
- * grammar is libhttp-parser's; this module keeps the head together, bounds
- * its size and stops behind each message, so that a connection handles one
- * message at a time.
+ * Takes the bytes of a connection and returns heads and pieces of bodies. The
+ * parser is libhttp-parser; this module assembles the head, limits its size
+ * and stops after each message, so that a connection handles one message at a
+ * time.
  *
- * libmicrohttpd and libcurl are not used on this path: libcurl sends a request
- * a second time when a reused connection turns out to be closed, which may run
- * a call twice that must run once, and neither hands out the request line and
- * the end of an answer as they were on the wire.
+ * libmicrohttpd and libcurl are not used here: libcurl resends a request when
+ * a reused connection turns out to be closed, so a request that must run once
+ * may run twice. Neither library exposes the request line and the end of an
+ * answer as they were on the wire.
  */
 
 #define PGW_HTTP_FIELDS_MAX 96
 
 /**
  * struct pgw_http_head - start line and header fields of one message
- * @text: holds all strings
+ * @text: storage of all strings
  * @names: offsets of the names in @text
  * @values: offsets of the values in @text
  * @count: number of fields
  * @target: offset of the request target
  * @method: name of the request's method, static
- * @status: status of an answer
+ * @status: status code of an answer
  * @keep_alive: the connection may carry another message after this one
- * @has_length: the body's length is announced
+ * @has_length: a Content-Length is given
  * @chunked: the body comes in chunks
- * @length: announced length in bytes, if @has_length
+ * @length: the Content-Length in bytes, if @has_length
  */
 struct pgw_http_head {
     GString *text;
@@ -64,25 +64,25 @@
 const char *pgw_http_head_find(const struct pgw_http_head *head,
                                const char *name);
 
-/** pgw_http_head_count() - how often a field of a name occurs */
+/** pgw_http_head_count() - number of fields of a name */
 unsigned pgw_http_head_count(const struct pgw_http_head *head,
                              const char *name);
 
 /**
- * pgw_http_head_is_hop_by_hop() - whether a field concerns one connection only
+ * pgw_http_head_is_hop_by_hop() - whether a field must not be forwarded
  *
- * True for the names that the protocol lists and for those that the head's
- * own Connection field names.
+ * True for the hop-by-hop fields of HTTP and for those that the head's own
+ * Connection field names.
  */
 bool pgw_http_head_is_hop_by_hop(const struct pgw_http_head *head, unsigned i);
 
 struct pgw_http_reader;
 
 /**
- * struct pgw_http_reader_ops - what the owner of a reader hears
+ * struct pgw_http_reader_ops - callbacks of a reader's owner
  * @on_head: the head is complete
- * @on_body: a piece of the body
- * @on_done: the message is complete; the reader stops behind it
+ * @on_body: a piece of the body has arrived
+ * @on_done: the message is complete; the reader stops after it
  */
 struct pgw_http_reader_ops {
     void (*on_head)(struct pgw_http_reader *reader);
@@ -93,13 +93,14 @@
 
 /**
  * struct pgw_http_reader - embedded in its owner
- * @parser: the grammar's state
+ * @parser: state of the parser library
  * @ops: the owner's callbacks
- * @head: of the current message
+ * @head: head of the current message
  * @head_limit: most bytes of a head
  * @head_size: bytes of the current head so far
- * @in_value: the last header piece belonged to a value
- * @too_large: the head went over @head_limit or has too many fields
+ * @in_value: the last piece of a header field belonged to its value
+ * @too_large: the head exceeds @head_limit or has too many fields
+ * @head_done: the head is complete
  * @done: the message is complete
  * @no_body: the answer belongs to a HEAD request
  * @stop: the owner wants no more callbacks
@@ -119,10 +120,10 @@
 };
 
 /**
- * enum pgw_http_result - what became of the bytes
- * @PGW_HTTP_MORE: all taken, the message is not complete
- * @PGW_HTTP_DONE: the message is complete; bytes behind it are not taken
- * @PGW_HTTP_BAD: these bytes are no HTTP, or contradict each other
+ * enum pgw_http_result - result of parsing received bytes
+ * @PGW_HTTP_MORE: all bytes are consumed, the message is not complete
+ * @PGW_HTTP_DONE: the message is complete; bytes after it are not consumed
+ * @PGW_HTTP_BAD: the bytes are not HTTP, or their framing is contradictory
  * @PGW_HTTP_TOO_LARGE: the head is larger than allowed
  */
 enum pgw_http_result {
@@ -133,9 +134,9 @@
 };
 
 /**
- * pgw_http_reader_init() - prepare for messages of one direction
- * @reader: memory of the owner
- * @answers: read answers, else requests
+ * pgw_http_reader_init() - initialize a reader for answers or for requests
+ * @reader: memory that the owner provides
+ * @answers: true for answers, false for requests
  * @head_limit: most bytes of a head
  * @ops: must outlive the reader
  */
@@ -143,20 +144,21 @@
                           size_t head_limit,
                           const struct pgw_http_reader_ops *ops);
 
-/** pgw_http_reader_next() - prepare for the message after a complete one */
+/** pgw_http_reader_next() - prepare for the next message after a complete one
+ */
 void pgw_http_reader_next(struct pgw_http_reader *reader);
 
-/** pgw_http_reader_dispose() - free what the reader holds */
+/** pgw_http_reader_dispose() - free the memory of the head */
 void pgw_http_reader_dispose(struct pgw_http_reader *reader);
 
 /**
- * pgw_http_reader_feed() - take received bytes
- * @taken: receives how many bytes were taken
+ * pgw_http_reader_feed() - parse received bytes
+ * @consumed: receives the number of bytes consumed
  * @reader: the reader
- * @data: the bytes; NULL with @size 0 says that the peer closed
- * @size: their number
+ * @data: the bytes; NULL with @size 0: the peer has closed the connection
+ * @size: number of bytes
  */
-enum pgw_http_result pgw_http_reader_feed(size_t *taken,
+enum pgw_http_result pgw_http_reader_feed(size_t *consumed,
                                           struct pgw_http_reader *reader,
                                           const char *data, size_t size);
 
--- a/src/gateway/route_table.c
+++ b/src/gateway/route_table.c
@@ -10,10 +10,10 @@
     uint64_t version;
     struct pgw_caller_limits limits;
     GHashTable *routes;    /* host and path prefix -> struct pgw_route */
-    size_t longest_prefix; /* bytes of the longest one */
+    size_t longest_prefix; /* bytes of the longest path prefix */
     GHashTable *services;  /* name -> struct pgw_service */
     GHashTable *keys;      /* key -> struct pgw_workspace */
-    GPtrArray *workspaces; /* owns them */
+    GPtrArray *workspaces; /* of struct pgw_workspace, owned */
     GPtrArray *kv_stores;  /* of struct pgw_service, owned by services */
 };
 
@@ -158,11 +158,11 @@
     return table->workspaces->len > 0;
 }
 
-/* Cuts @key down to its last slash that is behind @least bytes. */
+/* Truncates @key after its last slash; the first @kept_size bytes are kept. */
 static bool
-cut_to_slash(char *key, size_t least)
+truncate_to_slash(char *key, size_t kept_size)
 {
-    char *slash = strrchr(key + least, '/');
+    char *slash = strrchr(key + kept_size, '/');
 
     if (slash == NULL) {
         return false;
@@ -172,9 +172,9 @@
 }
 
 /*
- * Prefixes end with a slash, so the ones that begin a path are its pieces up
- * to each of its slashes: these are looked up, the longest first. A scan of
- * all routes of a host takes as long as the configuration is large.
+ * Prefixes end with a slash, so all prefixes of a path are found by truncating
+ * it at each of its slashes. These are looked up, the longest first. A scan of
+ * all routes of a host would take time in proportion to the configuration.
  */
 const struct pgw_route *
 pgw_route_table_match(const struct pgw_route_table *table, const char *host,
@@ -194,9 +194,9 @@
     }
     memcpy(key + host_size, target, path_size);
     key[host_size + path_size] = '\0';
-    while (route == NULL && cut_to_slash(key, host_size)) {
+    while (route == NULL && truncate_to_slash(key, host_size)) {
         route = g_hash_table_lookup(table->routes, key);
-        /* The slash itself is not found a second time. */
+        /* Removes the slash, so that the next one is found. */
         key[strlen(key) - 1] = '\0';
     }
     g_free(key);
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -9,16 +9,17 @@
 #include <stdint.h>
 
 /**
- * DOC: Which service a request goes to, and under which terms
+ * DOC: Routes, services and workspaces of one configuration
  *
- * An immutable table made from one version of the operator's configuration,
- * reference-counted: a request keeps the table it was accepted under.
+ * The table is built from one version of the operator's configuration, is
+ * immutable afterwards and has a reference count: a request keeps the table
+ * under which it was accepted.
  */
 
 /**
  * struct pgw_route_target - one service of a route
  * @service: its name
- * @weight: its part of the route's requests
+ * @weight: its share of the route's requests, relative to the other weights
  */
 struct pgw_route_target {
     char *service;
@@ -26,20 +27,20 @@
 };
 
 /**
- * struct pgw_route - terms of one route
- * @name: the operator's name for it
- * @host: whom requests must name as host, lower case
- * @path_prefix: what their paths begin with
- * @targets: services, with weights
+ * struct pgw_route - one route
+ * @name: name in the configuration
+ * @host: host that requests must name, in lower case
+ * @path_prefix: prefix of the paths of requests; ends with a slash
+ * @targets: services with weights
  * @target_count: number of @targets
- * @stream: the answer is a series of events
+ * @stream: the answer is a stream of events
  * @repeatable: a request may run more than once
- * @resumable: a stream may go on at another upstream behind an event
- * @open: no key is asked for
- * @max_attempts: upstreams that may run one request
- * @priority: 0 is first
- * @timeout_ms: longest time to the end of the answer
- * @objective_ms: time in which the answer is worth most
+ * @resumable: another upstream may resume a stream after any event
+ * @open: no API key is required
+ * @max_attempts: most upstreams that may run one request
+ * @priority: 0 is the most urgent
+ * @timeout_ms: longest time until the end of the answer
+ * @objective_ms: latency objective, 0: none
  */
 struct pgw_route {
     char *name;
@@ -60,12 +61,12 @@
 /**
  * struct pgw_service - one service
  * @name: its name
- * @max_connections: connections that one upstream takes from all callers
+ * @max_connections: most connections of one upstream from all clients
  * @is_engine: its upstreams are model engines
  * @slots: requests that one engine runs at once
- * @kv_tokens: tokens that fit into one engine's memory
- * @is_kv_store: it keeps KV cache and takes no requests
- * @store_address: where, if so
+ * @kv_tokens: size of one engine's KV cache in tokens
+ * @is_kv_store: the service stores KV cache and takes no requests
+ * @store_address: address of the KV store, NULL for any other service
  * @zone: availability zone of the store
  */
 struct pgw_service {
@@ -80,13 +81,13 @@
 };
 
 /**
- * struct pgw_workspace - who asks
+ * struct pgw_workspace - one workspace
  * @name: its name
- * @priority: goes before the route's; 0 is first
- * @isolated: shares no cached prompt with any other
- * @quota_rate: units a second that it may spend, 0: no limit
- * @quota_burst: units that it may spend at once
- * @quota_units: what these are
+ * @priority: takes precedence over the route's; 0 is the most urgent
+ * @isolated: shares no cached parts of prompts with other workspaces
+ * @quota_rate: units per second that it may spend, 0: no limit
+ * @quota_burst: most units that it may spend at once
+ * @quota_units: how units are counted
  */
 struct pgw_workspace {
     char *name;
@@ -99,13 +100,14 @@
 
 struct pgw_route_table;
 
-/** pgw_route_table_new() - an empty table of a version, with one reference */
+/** pgw_route_table_new() - create an empty table with one reference */
 struct pgw_route_table *pgw_route_table_new(uint64_t version);
 
 struct pgw_route_table *pgw_route_table_ref(struct pgw_route_table *table);
 void pgw_route_table_unref(struct pgw_route_table *table);
 
-/** Filling a table; it takes over the strings of what it is given. */
+/** Functions that fill a table. Structs are copied; the table takes ownership
+ * of their strings and arrays. Keys are copied. */
 void pgw_route_table_add_route(struct pgw_route_table *table,
                                const struct pgw_route *route);
 void pgw_route_table_add_service(struct pgw_route_table *table,
@@ -119,18 +121,18 @@
 /** pgw_route_table_version() - version of the configuration */
 uint64_t pgw_route_table_version(const struct pgw_route_table *table);
 
-/** pgw_route_table_limits() - what callers may send */
+/** pgw_route_table_limits() - limits for callers */
 const struct pgw_caller_limits *
 pgw_route_table_limits(const struct pgw_route_table *table);
 
-/** pgw_route_table_has_keys() - requests must carry a key */
+/** pgw_route_table_has_keys() - whether requests need an API key */
 bool pgw_route_table_has_keys(const struct pgw_route_table *table);
 
 /**
- * pgw_route_table_match() - the host's route with the longest fitting prefix
+ * pgw_route_table_match() - find the host's route with the longest prefix
  * @table: the table
  * @host: as the caller sent it; a port is ignored
- * @target: request target; what follows '?' is ignored
+ * @target: request target; a query is ignored
  *
  * Return: the route, or NULL.
  */
@@ -138,29 +140,30 @@
 pgw_route_table_match(const struct pgw_route_table *table, const char *host,
                       const char *target);
 
-/** pgw_route_table_workspace() - whose key it is, or NULL */
+/** pgw_route_table_workspace() - the workspace that owns an API key, or NULL
+ */
 const struct pgw_workspace *
 pgw_route_table_workspace(const struct pgw_route_table *table,
                           const char *key);
 
-/** pgw_route_table_service() - a service by name, or NULL */
+/** pgw_route_table_service() - find a service by name, or NULL */
 const struct pgw_service *
 pgw_route_table_service(const struct pgw_route_table *table, const char *name);
 
 /**
- * pgw_route_table_kv_store() - the store that keeps a prompt's KV cache
+ * pgw_route_table_kv_store() - the KV store for a prompt
  * @table: the table
  * @part: pgw_part_id() of the prompt's first part
  *
- * By rendezvous hashing, so that all entries save and look in the same one and
- * their links carry alike.
+ * Chosen by rendezvous hashing, so that all entries use the same store for a
+ * prompt and the load is balanced over the stores.
  *
- * Return: the store, or NULL where there is none.
+ * Return: the store, or NULL if there is none.
  */
 const struct pgw_service *
 pgw_route_table_kv_store(const struct pgw_route_table *table, uint64_t part);
 
-/** pgw_route_pick() - a service by weight; @random is any number */
+/** pgw_route_pick() - choose a service by weight; @random is any number */
 const char *pgw_route_pick(const struct pgw_route *route, uint64_t random);
 
 #endif
--- a/src/gateway/status_server.h
+++ b/src/gateway/status_server.h
@@ -5,19 +5,21 @@
 #include "util/loop.h"
 
 /**
- * DOC: Readiness and metrics of a process, on its own loop
+ * DOC: HTTP server for readiness and metrics of a process
  *
- * One path answers 200 or 503 for the balancer, /metrics answers the counters
- * and histograms. No thread of its own: a process has a part of one core.
+ * One path answers 200 or 503 for the load balancer, /metrics answers with the
+ * metrics. The server runs on the process's loop without a thread of its own,
+ * since a process has a fraction of one core.
  */
 
 struct pgw_status_server;
 
 /**
- * struct pgw_status_options - settings
- * @listen: the address
- * @ready_path: path that answers whether the process is ready; may be NULL
- * @is_ready: whether it is; *reason receives a static word if not
+ * struct pgw_status_options - options of a status server
+ * @listen: address on which it listens
+ * @ready_path: path of the readiness check, NULL: none
+ * @is_ready: whether the process is ready; if not, *reason receives a static
+ *   string
  * @context: handed to @is_ready
  */
 struct pgw_status_options {
--- a/tests/unit/scene_engine.c
+++ b/tests/unit/scene_engine.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Serves one request of the guard; reports and orders as @engine says. */
+/* Serves one request of the sidecar. */
 static void
 serve_one(struct scene_engine *engine, int fd)
 {
@@ -38,35 +38,34 @@
     g_free(head);
 }
 
-/* Plays the engine until @done says so. */
 void
 scene_engine_serve(struct scene_engine *engine,
                    bool (*done)(const struct scene_engine *engine))
 {
-    struct pollfd waits[16] = {{.fd = engine->listener, .events = POLLIN}};
+    struct pollfd polled[16] = {{.fd = engine->listener, .events = POLLIN}};
     unsigned count = 1;
 
     while (!done(engine)) {
-        g_assert_cmpint(poll(waits, count, SCENE_TIMEOUT_S * 1000), >, 0);
+        g_assert_cmpint(poll(polled, count, SCENE_TIMEOUT_S * 1000), >, 0);
         for (unsigned i = 1; i < count; i++) {
             char byte;
 
-            if (waits[i].revents != 0 &&
-                recv(waits[i].fd, &byte, 1, MSG_PEEK) == 1) {
-                serve_one(engine, waits[i].fd);
+            if (polled[i].revents != 0 &&
+                recv(polled[i].fd, &byte, 1, MSG_PEEK) == 1) {
+                serve_one(engine, polled[i].fd);
             }
-            else if (waits[i].revents != 0) {
-                close(waits[i].fd);
-                waits[i] = waits[--count];
+            else if (polled[i].revents != 0) {
+                close(polled[i].fd);
+                polled[i] = polled[--count];
             }
         }
-        if (waits[0].revents != 0) {
-            g_assert_cmpuint(count, <, G_N_ELEMENTS(waits));
-            waits[count++] = (struct pollfd){
+        if (polled[0].revents != 0) {
+            g_assert_cmpuint(count, <, G_N_ELEMENTS(polled));
+            polled[count++] = (struct pollfd){
                 .fd = accept(engine->listener, NULL, NULL), .events = POLLIN};
         }
     }
     for (unsigned i = 1; i < count; i++) {
-        close(waits[i].fd);
+        close(polled[i].fd);
     }
 }
--- a/tests/unit/scene_engine.h
+++ b/tests/unit/scene_engine.h
@@ -5,14 +5,14 @@
 #include <stdint.h>
 
 /**
- * struct scene_engine - what an engine that the test plays answers
+ * struct scene_engine - a fake engine whose answers the test sets
  * @listener: its listening socket
- * @version: weights that it reports, of the model "m"
- * @busy: it reports that it carries out an order
- * @sequence: orders that it reports
- * @started_ms: when its process started, as it says; 0: it does not
- * @orders: orders that it has taken
- * @order: body of the last one, to be freed
+ * @version: reported version of the weights of model "m"
+ * @busy: it reports that it is executing an order
+ * @sequence: reported number of orders
+ * @started_ms: reported start time of its process; 0: not reported
+ * @orders: number of orders received
+ * @order: body of the last order, to be freed
  */
 struct scene_engine {
     int listener;
@@ -24,9 +24,8 @@
     char *order;
 };
 
-/** scene_engine_serve() - answer what comes until @done says so; what else is
- * waited for must wake it through a report, which are asked for all the time
- */
+/** scene_engine_serve() - serve requests until @done returns true; it is
+ * checked after each request, and the sidecar requests reports all the time */
 void scene_engine_serve(struct scene_engine *engine,
                         bool (*done)(const struct scene_engine *engine));
 
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -11,10 +11,10 @@
 #define LOOPBACK "127.0.0.1"
 #define START_PAUSE_US 100000
 /* Longer than a test may take. */
-#define LONG_US (SCENE_TIMEOUT_S * 1000000ULL)
+#define TEST_TIME_US (SCENE_TIMEOUT_S * 1000000ULL)
 
 static int
-listen_anywhere(void)
+listen_on_loopback(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -45,8 +45,8 @@
     setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
 }
 
-/* POSIX locks: the thread sanitizer does not see those inside GLib, which is
-   not built with it, and would call each hand-over a race. */
+/* Uses POSIX locks, since the thread sanitizer does not see those within GLib,
+ * which is not built with it, and would report each handover as a race. */
 struct job {
     struct pgw_task task;
     struct scene *scene;
@@ -87,9 +87,9 @@
 
 static void
 add_route(struct pgw_route_table *table, const char *prefix,
-          const struct pgw_route *terms)
+          const struct pgw_route *options)
 {
-    struct pgw_route route = *terms;
+    struct pgw_route route = *options;
 
     route.name = g_strdup(prefix);
     route.host = g_strdup("h.example");
@@ -132,18 +132,20 @@
            double burst)
 {
     const char *keys[] = {key, NULL};
-    const char *later_keys[] = {SCENE_KEY_LOW_PRIORITY, NULL};
+    const char *low_priority_keys[] = {SCENE_KEY_LOW_PRIORITY, NULL};
     struct pgw_workspace workspace = {
         .name = g_strdup("parish"),
         .quota_rate = rate,
         .quota_burst = burst,
     };
-    struct pgw_workspace later = {.name = g_strdup("hostel"), .priority = 1};
+    struct pgw_workspace low_priority = {.name = g_strdup("hostel"),
+                                         .priority = 1};
 
     next_table = pgw_route_table_new(version);
     add_routes(next_table);
     pgw_route_table_add_workspace(next_table, &workspace, keys);
-    pgw_route_table_add_workspace(next_table, &later, later_keys);
+    pgw_route_table_add_workspace(next_table, &low_priority,
+                                  low_priority_keys);
     scene_run(scene, apply_table);
 }
 
@@ -161,7 +163,7 @@
 }
 
 static void
-put_upstreams(struct scene *scene)
+list_upstreams(struct scene *scene)
 {
     for (unsigned i = 0; i < scene->upstreams; i++) {
         char address[32];
@@ -189,7 +191,7 @@
 void
 scene_stop_listening(struct scene *scene, unsigned upstream)
 {
-    /* The port stays taken, so that nobody else answers there. */
+    /* The port stays bound, so that no other process answers there. */
     g_assert_cmpint(shutdown(scene->listeners[upstream], SHUT_RDWR), ==, 0);
     scene->stopped[upstream] = true;
 }
@@ -198,7 +200,7 @@
 scene_restart_upstreams(struct scene *scene)
 {
     scene->incarnation++;
-    scene_run(scene, put_upstreams);
+    scene_run(scene, list_upstreams);
 }
 
 void *
@@ -223,7 +225,7 @@
 
 struct pgw_link *
 scene_connect_entry(struct pgw_loop *loop,
-                    const struct pgw_engine_sidecar *guard,
+                    const struct pgw_engine_sidecar *sidecar,
                     const struct pgw_link_ops *ops)
 {
     struct pgw_address address;
@@ -232,7 +234,7 @@
     char text[32];
 
     g_snprintf(text, sizeof(text), LOOPBACK ":%u",
-               pgw_engine_sidecar_port(guard));
+               pgw_engine_sidecar_port(sidecar));
     g_assert_true(pgw_address_parse(&address, text, NULL));
     link = pgw_link_connect(loop, &address, ops, NULL, NULL);
     hello.instance = (char *)"e";
@@ -257,44 +259,44 @@
         .response_timeout_share = 1000,
         .final_answer_grace_us = final_answer_grace_us,
         .probe_wait_us = probe_wait_us,
-        .quota_wait_us = LONG_US,
+        .quota_wait_us = TEST_TIME_US,
         .quota_start_us = start_pause_us,
         .start_pause_us = start_pause_us,
     };
 
     g_assert_true(pgw_address_parse(&options.listen, LOOPBACK ":0", NULL));
-    /* One place means one request at a time. */
+    /* One slot means one request at a time. */
     options.choose.plain_depth = 1.0;
-    /* Nothing is waited for, so crashes follow each other closely. */
+    /* The test never sleeps, so its crashes follow each other closely. */
     options.crash_quarantine.apart_us = 0;
     scene->loop = pgw_loop_new(NULL);
     scene->gateway = pgw_gateway_new(scene->loop, &options, NULL);
     g_assert_nonnull(scene->gateway);
     scene->upstreams = upstreams;
     for (unsigned i = 0; i < upstreams; i++) {
-        scene->listeners[i] = listen_anywhere();
+        scene->listeners[i] = listen_on_loopback();
     }
     pthread_create(&scene->thread, NULL, scene_loop_main, scene->loop);
-    scene_run(scene, put_upstreams);
+    scene_run(scene, list_upstreams);
     return scene;
 }
 
 struct scene *
 scene_new(unsigned upstreams)
 {
-    return new_scene(upstreams, 0, START_PAUSE_US, LONG_US);
+    return new_scene(upstreams, 0, START_PAUSE_US, TEST_TIME_US);
 }
 
 struct scene *
 scene_new_with_probe_wait(unsigned upstreams, uint64_t probe_wait_us)
 {
-    return new_scene(upstreams, probe_wait_us, START_PAUSE_US, LONG_US);
+    return new_scene(upstreams, probe_wait_us, START_PAUSE_US, TEST_TIME_US);
 }
 
 struct scene *
 scene_new_with_start_pause(unsigned upstreams)
 {
-    return new_scene(upstreams, 0, LONG_US, LONG_US);
+    return new_scene(upstreams, 0, TEST_TIME_US, TEST_TIME_US);
 }
 
 struct scene *
@@ -331,8 +333,8 @@
 }
 
 static int
-call_with(struct scene *scene, const char *key, const char *path,
-          const char *id, const char *fields, const char *body)
+send_request(struct scene *scene, const char *key, const char *path,
+             const char *id, const char *fields, const char *body)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -357,37 +359,38 @@
 int
 scene_call(struct scene *scene, const char *path, const char *id)
 {
-    return call_with(scene, SCENE_KEY, path, id, "", "body");
+    return send_request(scene, SCENE_KEY, path, id, "", "body");
 }
 
 int
 scene_call_with_key(struct scene *scene, const char *key, const char *path,
                     const char *id)
 {
-    return call_with(scene, key, path, id, "", "body");
+    return send_request(scene, key, path, id, "", "body");
 }
 
 int
 scene_call_with_body(struct scene *scene, const char *path, const char *id,
                      const char *body)
 {
-    return call_with(scene, SCENE_KEY, path, id, "", body);
+    return send_request(scene, SCENE_KEY, path, id, "", body);
 }
 
 int
 scene_call_with_fields(struct scene *scene, const char *path, const char *id,
                        const char *fields)
 {
-    return call_with(scene, SCENE_KEY, path, id, fields, "body");
+    return send_request(scene, SCENE_KEY, path, id, fields, "body");
 }
 
 int
 scene_accept(struct scene *scene, unsigned upstream)
 {
-    struct pollfd waits = {.fd = scene->listeners[upstream], .events = POLLIN};
+    struct pollfd polled = {.fd = scene->listeners[upstream],
+                            .events = POLLIN};
     int fd;
 
-    g_assert_cmpint(poll(&waits, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
+    g_assert_cmpint(poll(&polled, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
     fd = accept(scene->listeners[upstream], NULL, NULL);
     set_timeout(fd);
     return fd;
@@ -396,17 +399,17 @@
 int
 scene_accept_any(struct scene *scene, unsigned *upstream)
 {
-    struct pollfd waits[SCENE_UPSTREAMS];
+    struct pollfd polled[SCENE_UPSTREAMS];
 
     for (unsigned i = 0; i < scene->upstreams; i++) {
-        waits[i] = (struct pollfd){
+        polled[i] = (struct pollfd){
             .fd = scene->stopped[i] ? -1 : scene->listeners[i],
             .events = POLLIN,
         };
     }
-    g_assert_cmpint(poll(waits, scene->upstreams, SCENE_TIMEOUT_S * 1000), >,
+    g_assert_cmpint(poll(polled, scene->upstreams, SCENE_TIMEOUT_S * 1000), >,
                     0);
-    for (*upstream = 0; waits[*upstream].revents == 0; (*upstream)++) {
+    for (*upstream = 0; polled[*upstream].revents == 0; (*upstream)++) {
     }
     return scene_accept(scene, *upstream);
 }
@@ -414,9 +417,10 @@
 bool
 scene_has_no_connection(struct scene *scene, unsigned upstream)
 {
-    struct pollfd waits = {.fd = scene->listeners[upstream], .events = POLLIN};
+    struct pollfd polled = {.fd = scene->listeners[upstream],
+                            .events = POLLIN};
 
-    return poll(&waits, 1, 0) == 0;
+    return poll(&polled, 1, 0) == 0;
 }
 
 char *
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -5,7 +5,9 @@
                              "id: 2\r\ndata: b\r\n\r\n"
                              "weights: 3\nid: 7\ndata: c\n\n";
 
-/* In pieces of any size the same bytes come out, cut at ends of events. */
+/* For pieces of any size, the same bytes are returned, split at ends of
+ * events.
+ */
 static void
 test_pieces(void)
 {
@@ -15,12 +17,13 @@
 
         for (size_t at = 0; at < strlen(answer); at += step) {
             size_t size = MIN(step, strlen(answer) - at);
-            size_t whole = pgw_event_stream_feed(&stream, answer + at, size);
+            size_t complete_size =
+                pgw_event_stream_feed(&stream, answer + at, size);
 
             g_string_append_len(out,
                                 (const char *)pgw_buffer_head(&stream.pending),
-                                (gssize)whole);
-            pgw_event_stream_consume(&stream, whole);
+                                (gssize)complete_size);
+            pgw_event_stream_consume(&stream, complete_size);
             g_assert_true(out->len == 0 ||
                           g_str_has_suffix(out->str, "\n\n") ||
                           g_str_has_suffix(out->str, "\r\n\r\n"));
@@ -34,21 +37,21 @@
     }
 }
 
-/* The caller has events 1 and 2; the upstream breaks off within 3. Another one
- * goes on: the half event is dropped, 3 follows 2. */
+/* A connection breaks within event 3. The incomplete event is dropped, and
+ * event 3 of another upstream follows event 2. */
 static void
-test_restart_drops_half_an_event(void)
+test_discards_partial_event(void)
 {
     struct pgw_event_stream stream = {0};
-    size_t whole =
+    size_t complete_size =
         pgw_event_stream_feed(&stream, "id: 1\n\nid: 2\n\nid: 3\nda", 23);
 
-    g_assert_cmpuint(whole, ==, 14);
-    pgw_event_stream_consume(&stream, whole);
+    g_assert_cmpuint(complete_size, ==, 14);
+    pgw_event_stream_consume(&stream, complete_size);
     pgw_event_stream_discard_partial(&stream);
     g_assert_cmpuint(stream.last_id, ==, 2);
-    whole = pgw_event_stream_feed(&stream, "id: 3\n\n", 7);
-    g_assert_cmpuint(whole, ==, 7);
+    complete_size = pgw_event_stream_feed(&stream, "id: 3\n\n", 7);
+    g_assert_cmpuint(complete_size, ==, 7);
     g_assert_false(stream.out_of_order);
     pgw_event_stream_dispose(&stream);
 }
@@ -69,7 +72,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/event_stream/pieces", test_pieces);
-    g_test_add_func("/event_stream/restart", test_restart_drops_half_an_event);
+    g_test_add_func("/event_stream/restart", test_discards_partial_event);
     g_test_add_func("/event_stream/order", test_order);
     return g_test_run();
 }
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -54,7 +54,7 @@
 }
 
 static void
-test_passes_on_unchanged(void)
+test_relays_unchanged(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/once/a%20b?q=1", "id-1");
@@ -74,7 +74,7 @@
 }
 
 static void
-test_who_may_not_ask(void)
+test_rejects_unauthorized(void)
 {
     struct scene *scene = scene_new(1);
 
@@ -93,8 +93,8 @@
 }
 
 /*
- * A caller connects before the process has its first configuration, which
- * comes right after. The caller must be served, not told to come back.
+ * Guards against refusing a caller that connects shortly before the first
+ * configuration arrives. Its connection waits and is then served.
  */
 static void
 test_connects_before_the_configuration(void)
@@ -103,7 +103,7 @@
     int caller = scene_call(scene, "/once/", "a");
     int upstream;
 
-    /* Turns of the loop in which it could have read the request. */
+    /* Gives the loop turns in which it could read the request. */
     for (unsigned i = 0; i < 5; i++) {
         scene_run(scene, do_nothing);
     }
@@ -117,8 +117,8 @@
 }
 
 /*
- * The caller's key is taken away and a late copy of the older configuration
- * comes afterwards. The caller must stay out: versions never go back.
+ * Guards against a revoked key that works again: a copy of an older
+ * configuration arrives after the one that revokes the key.
  */
 static void
 test_revoked_key_stays_revoked(void)
@@ -132,12 +132,11 @@
 }
 
 /*
- * The first upstream says that it did not run the call, so the second may,
- * although the call must run once. When all say so, the caller is told that it
- * has not run and when to come back.
+ * An upstream answers that it did not run a request that must run at most
+ * once. The request is sent to the second upstream.
  */
 static void
-test_not_run_goes_on(void)
+test_not_run_is_retried(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
@@ -158,11 +157,11 @@
 
 /*
  * Another incarnation answers at an upstream's address. It did not run the
- * request, so the next one gets it, and nothing more is sent to the first
- * although nobody said yet that it is gone.
+ * request, so the request goes to the next upstream. Nothing more is sent to
+ * the address, although the list still names the old incarnation.
  */
 static void
-test_displaced_upstream_is_left_alone(void)
+test_displaced_upstream_is_not_used(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
@@ -199,7 +198,7 @@
 
     g_free(scene_read_request(upstream));
     scene_refuse(upstream);
-    close(scene_call(scene, "/none/", "b")); /* the loop serves on */
+    close(scene_call(scene, "/none/", "b")); /* other requests are served */
     answer = scene_read_until(caller, "}}");
     g_assert_true(g_str_has_prefix(answer, "HTTP/1.1 503 "));
     assert_has(answer, "Retry-After: ");
@@ -211,11 +210,12 @@
 }
 
 /*
- * The upstream takes a call that must run once and breaks off. It may have run
- * it, so no other upstream gets it and the caller is not told "not run".
+ * Guards against running a request twice: the connection breaks after an
+ * upstream got a request that must run at most once. The request is not
+ * retried, and the caller's answer does not say that it was not run.
  */
 static void
-test_broken_call_is_not_repeated(void)
+test_broken_request_is_not_retried(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
@@ -230,7 +230,7 @@
 }
 
 static void
-test_broken_repeatable_call_is_repeated(void)
+test_broken_repeatable_request_is_retried(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/again/", "a");
@@ -249,11 +249,12 @@
 }
 
 /*
- * One upstream answers a request twice; the second answer arrives where the
- * next request's answer is due. The next caller must get its own.
+ * Guards against giving a caller another caller's answer: an upstream answers
+ * a request twice, and the second answer arrives where the answer to the next
+ * request on the connection is expected.
  */
 static void
-test_foreign_answer_is_passed_over(void)
+test_foreign_answer_is_dropped(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/again/", "a");
@@ -272,11 +273,11 @@
 }
 
 /*
- * Bytes follow a whole answer. They belong to no request: the connection is
- * not used again, and the next caller's request comes on a new one.
+ * Bytes that belong to no request follow a complete answer. The connection is
+ * closed, and the next request is sent on a new one.
  */
 static void
-test_odd_connection_is_dropped(void)
+test_extra_bytes_close_connection(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/again/", "a");
@@ -298,9 +299,10 @@
     scene_free(scene);
 }
 
-/* A success that no upstream vouches for is not passed on as one. */
+/* A success without the field that marks an upstream's answer, for example one
+ * of a proxy, is not relayed. */
 static void
-test_answer_without_mark(void)
+test_answer_not_genuine(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/once/", "a");
@@ -313,9 +315,9 @@
     scene_free(scene);
 }
 
-/* An answer without a length whose connection is reset is cut short. */
+/* A reset ends an answer without a length as incomplete. */
 static void
-test_reset_is_no_end(void)
+test_reset_is_incomplete(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/once/", "a");
@@ -330,9 +332,9 @@
 }
 
 /*
- * An engine dies in the middle of the caller's third event. The caller sees
- * events 1 to 4 once each and in order, in one answer that ends properly: the
- * second engine goes on behind event 2.
+ * An engine crashes within the third event of a stream. The second engine
+ * resumes after event 2, and the caller gets events 1 to 4 once each and in
+ * order, in one complete answer.
  */
 static void
 test_stream_resumes(void)
@@ -369,10 +371,9 @@
     scene_free(scene);
 }
 
-/* Nothing was heard of any upstream for 1.5 s, neither by a sidecar nor in an
- * answer. */
+/* Sets all upstreams to last seen 1.5 s ago. */
 static void
-fall_silent(struct scene *scene)
+set_last_seen_long_ago(struct scene *scene)
 {
     pgw_list_foreach (
         link, pgw_upstream_table_all(pgw_gateway_upstreams(scene->gateway))) {
@@ -383,19 +384,18 @@
 }
 
 /*
- * The machines of two engines are suspended in the middle of a stream each.
- * Nothing ends their connections, so without a look at who was heard of their
- * callers wait until they give up. The stream that may be resumed goes on at a
- * third engine, once and in order, and the engine that stands still finds its
- * connection closed when it wakes; the other stream is left where it is, since
- * it must not run twice.
+ * Guards against callers that wait for suspended engines until they time out:
+ * nothing closes the connections of a suspended machine. Two engines become
+ * unresponsive during a stream each. The resumable stream resumes at a third
+ * engine and its old connection is closed; the other stream stays where it is,
+ * since it must not run twice.
  */
 static void
-test_silent_engine(void)
+test_unresponsive_engine(void)
 {
     struct scene *scene = ready_scene(3);
-    int flow = scene_call(scene, "/flow/", "a");
-    int brook;
+    int resumable = scene_call(scene, "/flow/", "a");
+    int not_resumable;
     unsigned first;
     unsigned second;
     int one = scene_accept_any(scene, &first);
@@ -408,15 +408,15 @@
     g_free(scene_read_request(one));
     scene_begin_stream(one, "a");
     scene_chunk(one, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
-    g_free(scene_read_until(flow, "id: 2\ndata: x\n\n"));
-    /* Each has one place, so this one is elsewhere. */
-    brook = scene_call(scene, "/brook/", "b");
+    g_free(scene_read_until(resumable, "id: 2\ndata: x\n\n"));
+    /* Each engine has one slot, so this request gets another engine. */
+    not_resumable = scene_call(scene, "/brook/", "b");
     other = scene_accept_any(scene, &second);
     g_free(scene_read_request(other));
     scene_begin_stream(other, "b");
     scene_chunk(other, "id: 1\ndata: z\n\n");
-    g_free(scene_read_until(brook, "id: 1\ndata: z\n\n"));
-    scene_run(scene, fall_silent);
+    g_free(scene_read_until(not_resumable, "id: 1\ndata: z\n\n"));
+    scene_run(scene, set_last_seen_long_ago);
 
     two = scene_accept(scene, 3 - first - second);
     request = scene_read_request(two);
@@ -426,17 +426,17 @@
     scene_begin_stream(two, "a");
     scene_chunk(two, "id: 3\ndata: y\n\n");
     scene_send(two, "0\r\n\r\n");
-    answer = scene_read_until(flow, "\r\n0\r\n\r\n");
+    answer = scene_read_until(resumable, "\r\n0\r\n\r\n");
     assert_has(answer, "id: 3\ndata: y\n\n");
     assert_lacks(answer, "HTTP/1.1");
     g_free(answer);
 
     scene_chunk(other, "id: 2\ndata: z\n\n");
     scene_send(other, "0\r\n\r\n");
-    g_free(scene_read_until(brook, "id: 2\ndata: z\n\n"));
+    g_free(scene_read_until(not_resumable, "id: 2\ndata: z\n\n"));
     g_assert_true(scene_has_no_connection(scene, second));
-    close(brook);
-    close(flow);
+    close(not_resumable);
+    close(resumable);
     close(one);
     close(two);
     close(other);
@@ -444,93 +444,96 @@
 }
 
 /*
- * The machine of an engine stands still, so that nothing of a request is
- * acknowledged beyond what its kernel can hold. The caller leaves. The rest of
- * the request must not be sent on until the machine wakes, when it would run
- * for nobody: the connection is reset.
+ * Guards against a cancelled request that still reaches its engine. The
+ * engine's machine is suspended, so only the bytes that fit into its kernel's
+ * buffer are acknowledged. The caller disconnects. The connection must be
+ * reset: after an ordinary close the kernel would resend the rest of the
+ * request, which would run without a caller once the machine resumes.
  */
 static void
-test_given_up_request_never_arrives(void)
+test_cancelled_request_never_arrives(void)
 {
     struct scene *scene = ready_scene(1);
-    int least = 1;
+    int min_size = 1;
     GString *body = g_string_new(NULL);
-    struct pollfd waits = {.events = 0};
+    struct pollfd polled = {.events = 0};
     char first;
     int caller;
 
     g_assert_cmpint(setsockopt(scene->listeners[0], SOL_SOCKET, SO_RCVBUF,
-                               &least, sizeof(least)),
+                               &min_size, sizeof(min_size)),
                     ==, 0);
     g_string_set_size(body, 1000000);
     memset(body->str, 'x', body->len);
     caller = scene_call_with_body(scene, "/flow/", "a", body->str);
-    waits.fd = scene_accept(scene, 0);
-    g_assert_cmpint(recv(waits.fd, &first, 1, MSG_PEEK), ==, 1);
+    polled.fd = scene_accept(scene, 0);
+    g_assert_cmpint(recv(polled.fd, &first, 1, MSG_PEEK), ==, 1);
     close(caller);
-    g_assert_cmpint(poll(&waits, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
-    g_assert_true((waits.revents & (POLLERR | POLLHUP)) != 0);
-    close(waits.fd);
+    g_assert_cmpint(poll(&polled, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
+    g_assert_true((polled.revents & (POLLERR | POLLHUP)) != 0);
+    close(polled.fd);
     g_string_free(body, TRUE);
     scene_free(scene);
 }
 
-/* The upstream's socket in test_given_up_between_writes(). */
+/* The upstream's socket in test_cancelled_between_writes(). */
 static int between_writes_fd;
 
-/* On the gateway's thread, which so cannot write more meanwhile. */
+/* Runs on the gateway's thread, so that the gateway writes nothing between the
+ * drain and the cancel. */
 static void
-drain_and_give_up(struct scene *scene)
+drain_and_cancel(struct scene *scene)
 {
     struct pgw_exchange *exchange = pgw_container_of(
         scene->gateway->exchanges.next, struct pgw_exchange, in_gateway);
-    struct pollfd waits = {.fd = between_writes_fd, .events = POLLIN};
+    struct pollfd polled = {.fd = between_writes_fd, .events = POLLIN};
     char buffer[65536];
 
-    while (poll(&waits, 1, 300) > 0) {
-        g_assert_cmpint(recv(waits.fd, buffer, sizeof(buffer), 0), >, 0);
+    while (poll(&polled, 1, 300) > 0) {
+        g_assert_cmpint(recv(polled.fd, buffer, sizeof(buffer), 0), >, 0);
     }
     exchange->caller->owner = NULL;
     pgw_exchange_handle_caller_gone(exchange);
 }
 
-/* A request that is given up when all that was written of it has arrived, and
- * not all was written, must end with a reset: the rest never comes. */
+/* A request of which a part was written and acknowledged is cancelled before
+ * the rest was written. The connection must be reset. */
 static void
-test_given_up_between_writes(void)
+test_cancelled_between_writes(void)
 {
     struct scene *scene = ready_scene(1);
-    struct pollfd waits = {.events = 0};
-    int least = 1;
+    struct pollfd polled = {.events = 0};
+    int min_size = 1;
     GString *body = g_string_new(NULL);
     int caller;
 
     g_assert_cmpint(setsockopt(scene->listeners[0], SOL_SOCKET, SO_RCVBUF,
-                               &least, sizeof(least)),
+                               &min_size, sizeof(min_size)),
                     ==, 0);
-    /* More than a socket's buffer takes. */
+    /* Larger than the socket's buffers. */
     g_string_set_size(body, 4000000);
     memset(body->str, 'x', body->len);
     caller = scene_call_with_body(scene, "/flow/", "a", body->str);
-    waits.fd = between_writes_fd = scene_accept(scene, 0);
-    waits.events = POLLIN;
-    g_assert_cmpint(poll(&waits, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
-    scene_run(scene, drain_and_give_up);
-    waits.events = 0;
-    g_assert_cmpint(poll(&waits, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
-    g_assert_true((waits.revents & (POLLERR | POLLHUP)) != 0);
+    polled.fd = between_writes_fd = scene_accept(scene, 0);
+    polled.events = POLLIN;
+    g_assert_cmpint(poll(&polled, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
+    scene_run(scene, drain_and_cancel);
+    polled.events = 0;
+    g_assert_cmpint(poll(&polled, 1, SCENE_TIMEOUT_S * 1000), ==, 1);
+    g_assert_true((polled.revents & (POLLERR | POLLHUP)) != 0);
     close(caller);
-    close(waits.fd);
+    close(polled.fd);
     g_string_free(body, TRUE);
     scene_free(scene);
 }
 
 /*
- * A stream that may not be resumed breaks: the caller's connection ends
- * without the last chunk, so that half an answer does not look whole.
+ * The connection of a stream that is not resumable breaks. The caller's
+ * connection ends without the last chunk, which shows that the answer is
+ * incomplete.
  */
 static void
-test_broken_stream_shows(void)
+test_broken_stream_is_incomplete(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/brook/", "a");
@@ -551,10 +554,10 @@
     scene_free(scene);
 }
 
-/* The next upstream answers a resumed stream with a failure of its own: that
- * must not end the caller's answer as if it were whole. */
+/* The next upstream answers a resumed stream with an error. The caller's
+ * answer must not end as if it were complete. */
 static void
-test_failed_resumption_is_no_end(void)
+test_failed_resumption_is_incomplete(void)
 {
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/flow/", "a");
@@ -580,12 +583,12 @@
 }
 
 /*
- * The caller leaves while its request runs. What may be repeated is cancelled,
- * which the upstream sees as a closed connection; what must run once is left
- * to end.
+ * The caller disconnects while its request runs. A repeatable request is
+ * cancelled, and its upstream sees a closed connection. A request that must
+ * run at most once is left to complete.
  */
 static void
-test_caller_leaves(void)
+test_caller_disconnects(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/again/", "a");
@@ -611,8 +614,8 @@
     scene_free(scene);
 }
 
-/* The only place is taken and two requests wait: "b" of @first on @first_path,
- * then "c" of @second. When the place becomes free "c" gets it. */
+/* The only slot is in use and two requests are queued: "b" with the key @first
+ * on @first_path, then "c" with the key @second. The free slot goes to "c". */
 static void
 assert_second_goes_first(const char *first, const char *first_path,
                          const char *second, const char *second_path)
@@ -626,7 +629,7 @@
 
     g_free(scene_read_request(upstream));
     later = scene_call_with_key(scene, first, first_path, "b");
-    /* A refusal that comes back shows that the one before it was read. */
+    /* This answer shows that the request before it was read. */
     expect_status(scene_call(scene, "/none/", "x"), "HTTP/1.1 404 ");
     sooner = scene_call_with_key(scene, second, second_path, "c");
     expect_status(scene_call(scene, "/none/", "y"), "HTTP/1.1 404 ");
@@ -650,8 +653,8 @@
     assert_second_goes_first(SCENE_KEY, "/once/", SCENE_KEY, "/first/");
 }
 
-/* A workspace's priority goes before a route's: what one workspace has of the
- * less urgent route goes before the urgent one of the other. */
+/* A workspace's priority takes precedence over a route's: a request of the
+ * more urgent workspace on the less urgent route is sent first. */
 static void
 test_urgent_workspace_goes_first(void)
 {
@@ -659,8 +662,8 @@
                              "/once/");
 }
 
-/* The route's time passes while an upstream is silent: the caller hears that
- * nothing is known, and the upstream's connection is closed. */
+/* The route's timeout expires without an answer: the caller gets a 504, and
+ * the upstream's connection is closed. */
 static void
 test_route_timeout(void)
 {
@@ -683,8 +686,8 @@
     pgw_gateway_drain(scene->gateway);
 }
 
-/* A planned stop: what runs is answered, and the answer ends its connection.
- */
+/* During a graceful drain, running requests are answered and their connections
+ * closed after the answer. */
 static void
 test_drain(void)
 {
@@ -713,13 +716,13 @@
 }
 
 /*
- * A planned stop comes while a stream runs, whose head went out before and
- * does not say that the connection will end. Once the stream has ended the
- * connection must end too: a request that came on it would be taken so late
- * that the process ends before its answer.
+ * Guards against a request that is lost when a process stops: a graceful drain
+ * begins while a stream runs whose head did not announce the end of the
+ * connection. The connection must be closed after the stream, since the
+ * process would end before it answers another request on it.
  */
 static void
-test_kept_connection_ends_with_the_stop(void)
+test_drain_closes_connection_after_stream(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/brook/", "a");
@@ -742,11 +745,11 @@
 }
 
 /*
- * An engine dies within a stream while the only other place is taken. The
- * stream waits, then goes on: one head, events in order, a proper end.
+ * An engine crashes during a stream while the only other slot is in use. The
+ * stream is queued and then resumes: one head, events in order, a proper end.
  */
 static void
-test_resumption_may_wait(void)
+test_resumption_is_queued(void)
 {
     struct scene *scene = ready_scene(2);
     int other = scene_call(scene, "/once/", "o");
@@ -762,7 +765,7 @@
     scene_chunk(one, "id: 1\ndata: x\n\n");
     g_free(scene_read_until(caller, "id: 1\ndata: x\n\n"));
     scene_reset(one);
-    /* Behind this refusal the loop has seen the reset. */
+    /* This answer shows that the loop has seen the reset. */
     expect_status(scene_call(scene, "/none/", "n"), "HTTP/1.1 404 ");
     scene_answer(busy, "o", 200, "", "ok");
     expect_ok(other);
@@ -779,9 +782,9 @@
     scene_free(scene);
 }
 
-/* The next upstream that gets the request crashes while it runs it. */
+/* Crashes the upstream that gets the next request, while it runs. */
 static void
-crash_next(struct scene *scene)
+crash_next_upstream(struct scene *scene)
 {
     unsigned which;
     int upstream = scene_accept_any(scene, &which);
@@ -791,11 +794,11 @@
 }
 
 /*
- * A request brings down each upstream that begins to run it: three of them die
- * with it, one after the other, and the caller is told that nobody knows. The
- * upstreams come back and the caller sends the same again, as a new attempt.
- * It must be refused as not run before it reaches a fourth, and told to stay
- * away for long; a request for something else is served.
+ * Guards against a request that crashes one upstream after another: three
+ * upstreams crash while they run it, and the caller gets an unknown outcome.
+ * The upstreams restart and the caller resends the request with a new id. It
+ * must be refused as not run, with a long Retry-After, before it reaches an
+ * upstream. Another request is served.
  */
 static void
 test_request_that_crashes_upstreams(void)
@@ -808,7 +811,7 @@
     char *answer;
 
     for (unsigned i = 0; i < 3; i++) {
-        crash_next(scene);
+        crash_next_upstream(scene);
     }
     expect_status(caller, "HTTP/1.1 502 ");
     scene_restart_upstreams(scene);
@@ -830,8 +833,8 @@
 }
 
 /*
- * The same, before anybody says that the upstreams are gone: another request
- * finds that nobody listens where the first one broke off, at all three.
+ * The same before the list of upstreams shows the crashes: connections of
+ * another request to all three upstreams are refused.
  */
 static void
 test_crash_shown_by_refused_connections(void)
@@ -859,19 +862,19 @@
 }
 
 /*
- * Many callers ask for the same thing. Three upstreams crash while they run
- * it, but it ends well at another one: it does no harm, and is let through.
+ * Three upstreams crash while they run requests with the same content, but one
+ * such request completes. The completed run clears the crash quarantine.
  */
 static void
-test_innocent_beside_crashes(void)
+test_completed_run_clears_quarantine(void)
 {
     struct scene *scene = ready_scene(3);
     int caller = scene_call(scene, "/again/", "a");
     int upstream;
     unsigned which;
 
-    crash_next(scene);
-    crash_next(scene);
+    crash_next_upstream(scene);
+    crash_next_upstream(scene);
     upstream = scene_accept_any(scene, &which);
     g_free(scene_read_request(upstream));
     scene_restart_upstreams(scene);
@@ -879,7 +882,7 @@
     expect_ok(caller);
     close(upstream);
     caller = scene_call(scene, "/again/", "b");
-    crash_next(scene);
+    crash_next_upstream(scene);
     upstream = scene_accept_any(scene, &which);
     g_free(scene_read_request(upstream));
     scene_answer(upstream, "b", 200, "", "ok");
@@ -889,11 +892,11 @@
 }
 
 /*
- * An upstream's machine loses its power: nothing closes its connections, and
- * callers of the dead process wait until their deadlines.
+ * Guards against callers that wait for a dead process until their deadlines:
+ * an upstream's machine loses power, so nothing closes its connections.
  */
 static void
-test_process_ended(void)
+test_dead_process_ends_attempts(void)
 {
     struct scene *scene = scene_new_without_answer_grace(1);
     int once;
@@ -928,9 +931,10 @@
     scene_free(scene);
 }
 
-/* What a process had answered before its successor was listed is delivered. */
+/* The answer of a process that arrives soon after its successor was listed is
+ * delivered. */
 static void
-test_last_answer_of_a_process(void)
+test_final_answer_is_delivered(void)
 {
     struct scene *scene = ready_scene(1);
     int caller = scene_call(scene, "/once/", "a");
@@ -949,49 +953,51 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/gateway/unchanged", test_passes_on_unchanged);
-    g_test_add_func("/gateway/who_may_not_ask", test_who_may_not_ask);
+    g_test_add_func("/gateway/relays_unchanged", test_relays_unchanged);
+    g_test_add_func("/gateway/rejects_unauthorized",
+                    test_rejects_unauthorized);
     g_test_add_func("/gateway/revoked", test_revoked_key_stays_revoked);
-    g_test_add_func("/gateway/not_run", test_not_run_goes_on);
-    g_test_add_func("/gateway/displaced",
-                    test_displaced_upstream_is_left_alone);
+    g_test_add_func("/gateway/not_run", test_not_run_is_retried);
+    g_test_add_func("/gateway/displaced", test_displaced_upstream_is_not_used);
     g_test_add_func("/gateway/all_refuse", test_all_refuse);
-    g_test_add_func("/gateway/broken_once", test_broken_call_is_not_repeated);
+    g_test_add_func("/gateway/broken_once",
+                    test_broken_request_is_not_retried);
     g_test_add_func("/gateway/broken_again",
-                    test_broken_repeatable_call_is_repeated);
-    g_test_add_func("/gateway/foreign_answer",
-                    test_foreign_answer_is_passed_over);
-    g_test_add_func("/gateway/odd_connection", test_odd_connection_is_dropped);
-    g_test_add_func("/gateway/answer_without_mark", test_answer_without_mark);
-    g_test_add_func("/gateway/reset_is_no_end", test_reset_is_no_end);
+                    test_broken_repeatable_request_is_retried);
+    g_test_add_func("/gateway/foreign_answer", test_foreign_answer_is_dropped);
+    g_test_add_func("/gateway/extra_bytes_close_connection",
+                    test_extra_bytes_close_connection);
+    g_test_add_func("/gateway/answer_not_genuine", test_answer_not_genuine);
+    g_test_add_func("/gateway/reset_is_no_end", test_reset_is_incomplete);
     g_test_add_func("/gateway/stream_resumes", test_stream_resumes);
-    g_test_add_func("/gateway/silent_engine", test_silent_engine);
-    g_test_add_func("/gateway/given_up_request",
-                    test_given_up_request_never_arrives);
-    g_test_add_func("/gateway/given_up_between_writes",
-                    test_given_up_between_writes);
-    g_test_add_func("/gateway/broken_stream", test_broken_stream_shows);
+    g_test_add_func("/gateway/unresponsive_engine", test_unresponsive_engine);
+    g_test_add_func("/gateway/cancelled_request_never_arrives",
+                    test_cancelled_request_never_arrives);
+    g_test_add_func("/gateway/cancelled_between_writes",
+                    test_cancelled_between_writes);
+    g_test_add_func("/gateway/broken_stream",
+                    test_broken_stream_is_incomplete);
     g_test_add_func("/gateway/failed_resumption",
-                    test_failed_resumption_is_no_end);
-    g_test_add_func("/gateway/caller_leaves", test_caller_leaves);
+                    test_failed_resumption_is_incomplete);
+    g_test_add_func("/gateway/caller_leaves", test_caller_disconnects);
     g_test_add_func("/gateway/urgent_first", test_urgent_request_goes_first);
     g_test_add_func("/gateway/urgent_workspace_first",
                     test_urgent_workspace_goes_first);
     g_test_add_func("/gateway/route_timeout", test_route_timeout);
     g_test_add_func("/gateway/drain", test_drain);
-    g_test_add_func("/gateway/resumption_waits", test_resumption_may_wait);
+    g_test_add_func("/gateway/resumption_waits", test_resumption_is_queued);
     g_test_add_func("/gateway/kept_connection",
-                    test_kept_connection_ends_with_the_stop);
+                    test_drain_closes_connection_after_stream);
     g_test_add_func("/gateway/before_configuration",
                     test_connects_before_the_configuration);
     g_test_add_func("/gateway/crashing_request",
                     test_request_that_crashes_upstreams);
     g_test_add_func("/gateway/crashes_by_refusal",
                     test_crash_shown_by_refused_connections);
-    g_test_add_func("/gateway/innocent_beside_crashes",
-                    test_innocent_beside_crashes);
-    g_test_add_func("/gateway/process_ended", test_process_ended);
+    g_test_add_func("/gateway/completed_run_clears_quarantine",
+                    test_completed_run_clears_quarantine);
+    g_test_add_func("/gateway/process_ended", test_dead_process_ends_attempts);
     g_test_add_func("/gateway/last_answer_of_a_process",
-                    test_last_answer_of_a_process);
+                    test_final_answer_is_delivered);
     return g_test_run();
 }
--- a/tests/unit/test_http_reader.c
+++ b/tests/unit/test_http_reader.c
@@ -1,7 +1,7 @@
 #include "gateway/http_reader.h"
 #include <string.h>
 
-struct seen {
+struct recorder {
     struct pgw_http_reader reader;
     GString *body;
     unsigned heads;
@@ -11,19 +11,19 @@
 static void
 on_head(struct pgw_http_reader *reader)
 {
-    ((struct seen *)reader)->heads++;
+    ((struct recorder *)reader)->heads++;
 }
 
 static void
 on_body(struct pgw_http_reader *reader, const char *data, size_t size)
 {
-    g_string_append_len(((struct seen *)reader)->body, data, (gssize)size);
+    g_string_append_len(((struct recorder *)reader)->body, data, (gssize)size);
 }
 
 static void
 on_done(struct pgw_http_reader *reader)
 {
-    ((struct seen *)reader)->done++;
+    ((struct recorder *)reader)->done++;
 }
 
 static const struct pgw_http_reader_ops ops = {
@@ -32,39 +32,39 @@
     .on_done = on_done,
 };
 
-static struct seen *
-seen_new(bool answers, size_t limit)
+static struct recorder *
+recorder_new(bool answers, size_t limit)
 {
-    struct seen *seen = g_new0(struct seen, 1);
+    struct recorder *recorder = g_new0(struct recorder, 1);
 
-    pgw_http_reader_init(&seen->reader, answers, limit, &ops);
-    seen->body = g_string_new(NULL);
-    return seen;
+    pgw_http_reader_init(&recorder->reader, answers, limit, &ops);
+    recorder->body = g_string_new(NULL);
+    return recorder;
 }
 
 static void
-seen_free(struct seen *seen)
+recorder_free(struct recorder *recorder)
 {
-    pgw_http_reader_dispose(&seen->reader);
-    g_string_free(seen->body, TRUE);
-    g_free(seen);
+    pgw_http_reader_dispose(&recorder->reader);
+    g_string_free(recorder->body, TRUE);
+    g_free(recorder);
 }
 
-/* Feeds @text in pieces of @step bytes; returns the last result and how many
- * bytes were taken in all. */
+/* Feeds @text in pieces of @step bytes; returns the last result, and in @total
+ * the number of bytes consumed. */
 static enum pgw_http_result
-feed(size_t *total, struct seen *seen, const char *text, size_t step)
+feed(size_t *total, struct recorder *recorder, const char *text, size_t step)
 {
     size_t size = strlen(text);
     enum pgw_http_result result = PGW_HTTP_MORE;
 
     *total = 0;
     while (*total < size && result == PGW_HTTP_MORE) {
-        size_t taken;
+        size_t consumed;
 
-        result = pgw_http_reader_feed(&taken, &seen->reader, text + *total,
-                                      MIN(step, size - *total));
-        *total += taken;
+        result = pgw_http_reader_feed(&consumed, &recorder->reader,
+                                      text + *total, MIN(step, size - *total));
+        *total += consumed;
     }
     return result;
 }
@@ -75,47 +75,48 @@
                               "Content-Length: 5\r\n\r\n"
                               "helloGET /next HTTP/1.1\r\n\r\n";
 
-/* Whatever the pieces, the head is whole, the target is not decoded and what
- * follows the message stays untaken. */
+/* For pieces of any size, the head is complete, the target is not decoded and
+ * bytes after the message are not consumed. */
 static void
 test_pieces(void)
 {
     for (size_t step = 1; step < sizeof(request); step++) {
-        struct seen *seen = seen_new(false, 4096);
-        const struct pgw_http_head *head = &seen->reader.head;
+        struct recorder *recorder = recorder_new(false, 4096);
+        const struct pgw_http_head *head = &recorder->reader.head;
         size_t total;
 
-        g_assert_cmpint(feed(&total, seen, request, step), ==, PGW_HTTP_DONE);
+        g_assert_cmpint(feed(&total, recorder, request, step), ==,
+                        PGW_HTTP_DONE);
         g_assert_cmpstr(request + total, ==, "GET /next HTTP/1.1\r\n\r\n");
         g_assert_cmpstr(head->method, ==, "POST");
         g_assert_cmpstr(pgw_http_head_target(head), ==, "/a%20b/?q=1");
         g_assert_cmpstr(pgw_http_head_find(head, "x-one"), ==, "first");
         g_assert_cmpuint(head->length, ==, 5);
         g_assert_true(head->keep_alive);
-        g_assert_cmpstr(seen->body->str, ==, "hello");
-        g_assert_cmpuint(seen->heads, ==, 1);
-        g_assert_cmpuint(seen->done, ==, 1);
-        seen_free(seen);
+        g_assert_cmpstr(recorder->body->str, ==, "hello");
+        g_assert_cmpuint(recorder->heads, ==, 1);
+        g_assert_cmpuint(recorder->done, ==, 1);
+        recorder_free(recorder);
     }
 }
 
 static void
 test_next_message(void)
 {
-    struct seen *seen = seen_new(false, 4096);
+    struct recorder *recorder = recorder_new(false, 4096);
     size_t total;
 
-    feed(&total, seen, request, sizeof(request));
-    pgw_http_reader_next(&seen->reader);
-    g_assert_cmpint(feed(&total, seen, request + strlen(request) - 22, 7), ==,
-                    PGW_HTTP_DONE);
-    g_assert_cmpstr(pgw_http_head_target(&seen->reader.head), ==, "/next");
-    g_assert_cmpuint(seen->reader.head.count, ==, 0);
-    seen_free(seen);
+    feed(&total, recorder, request, sizeof(request));
+    pgw_http_reader_next(&recorder->reader);
+    g_assert_cmpint(feed(&total, recorder, request + strlen(request) - 22, 7),
+                    ==, PGW_HTTP_DONE);
+    g_assert_cmpstr(pgw_http_head_target(&recorder->reader.head), ==, "/next");
+    g_assert_cmpuint(recorder->reader.head.count, ==, 0);
+    recorder_free(recorder);
 }
 
-/* Two lengths, or a length beside chunks, are how one request is hidden in
- * another. */
+/* Guards against request smuggling: two lengths, or a length together with
+ * chunks, hide a request within another one. */
 static void
 test_smuggling_is_refused(void)
 {
@@ -129,21 +130,21 @@
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-        struct seen *seen = seen_new(false, 4096);
+        struct recorder *recorder = recorder_new(false, 4096);
         size_t total;
 
         g_test_message("text %zu", i);
-        g_assert_cmpint(feed(&total, seen, texts[i], strlen(texts[i])), ==,
+        g_assert_cmpint(feed(&total, recorder, texts[i], strlen(texts[i])), ==,
                         PGW_HTTP_BAD);
-        g_assert_cmpuint(seen->done, ==, 0);
-        seen_free(seen);
+        g_assert_cmpuint(recorder->done, ==, 0);
+        recorder_free(recorder);
     }
 }
 
 static void
 test_head_limit(void)
 {
-    struct seen *seen = seen_new(false, 64);
+    struct recorder *recorder = recorder_new(false, 64);
     GString *text = g_string_new("GET / HTTP/1.1\r\nX-Long: ");
     size_t total;
 
@@ -151,9 +152,10 @@
         g_string_append_c(text, 'x');
     }
     g_string_append(text, "\r\n\r\n");
-    g_assert_cmpint(feed(&total, seen, text->str, 9), ==, PGW_HTTP_TOO_LARGE);
+    g_assert_cmpint(feed(&total, recorder, text->str, 9), ==,
+                    PGW_HTTP_TOO_LARGE);
     g_string_free(text, TRUE);
-    seen_free(seen);
+    recorder_free(recorder);
 }
 
 static void
@@ -163,57 +165,58 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
         "Connection: close, X-Private\r\nX-Private: 1\r\nX-Kept: 2\r\n\r\n"
         "3\r\nabc\r\n2\r\nde\r\n0\r\nTrailer-Field: 1\r\n\r\n";
-    struct seen *seen = seen_new(true, 4096);
-    const struct pgw_http_head *head = &seen->reader.head;
+    struct recorder *recorder = recorder_new(true, 4096);
+    const struct pgw_http_head *head = &recorder->reader.head;
     size_t total;
 
-    g_assert_cmpint(feed(&total, seen, text, 4), ==, PGW_HTTP_DONE);
-    g_assert_cmpstr(seen->body->str, ==, "abcde");
+    g_assert_cmpint(feed(&total, recorder, text, 4), ==, PGW_HTTP_DONE);
+    g_assert_cmpstr(recorder->body->str, ==, "abcde");
     g_assert_false(head->keep_alive);
     g_assert_cmpuint(head->count, ==, 4);
     g_assert_true(pgw_http_head_is_hop_by_hop(head, 0));
     g_assert_true(pgw_http_head_is_hop_by_hop(head, 1));
     g_assert_true(pgw_http_head_is_hop_by_hop(head, 2));
     g_assert_false(pgw_http_head_is_hop_by_hop(head, 3));
-    seen_free(seen);
+    recorder_free(recorder);
 }
 
-/* An answer without a length ends with its connection; one with a length that
- * ends early is none. */
+/* An answer without a length ends with its connection; one with a length is
+ * incomplete if the connection ends early. */
 static void
 test_end_of_connection(void)
 {
-    struct seen *seen = seen_new(true, 4096);
+    struct recorder *recorder = recorder_new(true, 4096);
     size_t total;
 
-    g_assert_cmpint(feed(&total, seen, "HTTP/1.1 200 OK\r\n\r\nabc", 99), ==,
-                    PGW_HTTP_MORE);
-    g_assert_cmpint(pgw_http_reader_feed(&total, &seen->reader, NULL, 0), ==,
-                    PGW_HTTP_DONE);
-    g_assert_cmpstr(seen->body->str, ==, "abc");
-    seen_free(seen);
-    seen = seen_new(true, 4096);
-    feed(&total, seen, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", 99);
-    g_assert_cmpint(pgw_http_reader_feed(&total, &seen->reader, NULL, 0), !=,
-                    PGW_HTTP_DONE);
-    g_assert_cmpuint(seen->done, ==, 0);
-    seen_free(seen);
+    g_assert_cmpint(feed(&total, recorder, "HTTP/1.1 200 OK\r\n\r\nabc", 99),
+                    ==, PGW_HTTP_MORE);
+    g_assert_cmpint(pgw_http_reader_feed(&total, &recorder->reader, NULL, 0),
+                    ==, PGW_HTTP_DONE);
+    g_assert_cmpstr(recorder->body->str, ==, "abc");
+    recorder_free(recorder);
+    recorder = recorder_new(true, 4096);
+    feed(&total, recorder, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
+         99);
+    g_assert_cmpint(pgw_http_reader_feed(&total, &recorder->reader, NULL, 0),
+                    !=, PGW_HTTP_DONE);
+    g_assert_cmpuint(recorder->done, ==, 0);
+    recorder_free(recorder);
 }
 
 static void
 test_interim_answers(void)
 {
-    struct seen *seen = seen_new(true, 4096);
+    struct recorder *recorder = recorder_new(true, 4096);
     size_t total;
 
-    g_assert_cmpint(feed(&total, seen,
+    g_assert_cmpint(feed(&total, recorder,
                          "HTTP/1.1 100 Continue\r\n\r\n"
                          "HTTP/1.1 204 No Content\r\n\r\n",
                          13),
                     ==, PGW_HTTP_DONE);
-    g_assert_cmpuint(seen->reader.head.status, ==, 204);
-    g_assert_cmpuint(seen->heads, ==, 1);
-    seen_free(seen);
+    g_assert_cmpuint(recorder->reader.head.status, ==, 204);
+    g_assert_cmpuint(recorder->heads, ==, 1);
+    recorder_free(recorder);
 }
 
 int
--- a/tests/unit/test_route_table.c
+++ b/tests/unit/test_route_table.c
@@ -35,8 +35,8 @@
 }
 
 static const char *
-matched(const struct pgw_route_table *table, const char *host,
-        const char *target)
+match_prefix(const struct pgw_route_table *table, const char *host,
+             const char *target)
 {
     const struct pgw_route *route = pgw_route_table_match(table, host, target);
 
@@ -48,21 +48,22 @@
 {
     struct pgw_route_table *table = make_table();
 
-    g_assert_cmpstr(matched(table, "a.example", "/x/1"), ==, "/x/");
-    g_assert_cmpstr(matched(table, "a.example", "/x/y/1"), ==, "/x/y/");
-    g_assert_cmpstr(matched(table, "A.Example:8080", "/x/y/"), ==, "/x/y/");
-    g_assert_cmpstr(matched(table, "a.example", "/x?/y/"), ==, NULL);
-    g_assert_cmpstr(matched(table, "a.example", "/"), ==, NULL);
-    g_assert_cmpstr(matched(table, "b.example", "/x/y/"), ==, "/");
-    g_assert_cmpstr(matched(table, "c.example", "/x/"), ==, NULL);
+    g_assert_cmpstr(match_prefix(table, "a.example", "/x/1"), ==, "/x/");
+    g_assert_cmpstr(match_prefix(table, "a.example", "/x/y/1"), ==, "/x/y/");
+    g_assert_cmpstr(match_prefix(table, "A.Example:8080", "/x/y/"), ==,
+                    "/x/y/");
+    g_assert_cmpstr(match_prefix(table, "a.example", "/x?/y/"), ==, NULL);
+    g_assert_cmpstr(match_prefix(table, "a.example", "/"), ==, NULL);
+    g_assert_cmpstr(match_prefix(table, "b.example", "/x/y/"), ==, "/");
+    g_assert_cmpstr(match_prefix(table, "c.example", "/x/"), ==, NULL);
     pgw_route_table_unref(table);
 }
 
 /*
- * An operator adds 100,000 routes to one host. Each is found, and so are the
- * ones that were there before. A table that sorts at each route, or looks
- * through all at each request, does not get there before the test program is
- * ended; callers would wait for it all the while.
+ * Guards against a table whose cost grows with the number of routes, which
+ * would block the loop while callers wait. Adds 100,000 routes to one host and
+ * finds each of them. A table that sorts after each added route, or scans all
+ * routes for each request, does not finish within the test's time limit.
  */
 static void
 test_many_routes(void)
@@ -80,12 +81,12 @@
         char *prefix = g_strdup_printf("/x/many/%u/", i);
         char *target = g_strconcat(prefix, "below/1", NULL);
 
-        g_assert_cmpstr(matched(table, "a.example", target), ==, prefix);
+        g_assert_cmpstr(match_prefix(table, "a.example", target), ==, prefix);
         g_free(target);
         g_free(prefix);
     }
-    g_assert_cmpstr(matched(table, "a.example", "/x/many/"), ==, "/x/");
-    g_assert_cmpstr(matched(table, "a.example", "/x/y/1"), ==, "/x/y/");
+    g_assert_cmpstr(match_prefix(table, "a.example", "/x/many/"), ==, "/x/");
+    g_assert_cmpstr(match_prefix(table, "a.example", "/x/y/1"), ==, "/x/y/");
     pgw_route_table_unref(table);
 }
 
@@ -115,10 +116,10 @@
     pgw_route_table_unref(table);
 }
 
-/* With one of three stores in use its link carries all: prompts are divided
- * over all, each prompt always in the same one. */
+/* Guards against a single KV store that gets all traffic: prompts are divided
+ * over three stores, and each prompt always has the same one. */
 static void
-test_kv_stores_share_the_prompts(void)
+test_prompts_are_divided_over_kv_stores(void)
 {
     struct pgw_route_table *table = pgw_route_table_new(1);
     GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
@@ -162,6 +163,6 @@
     g_test_add_func("/route_table/keys", test_keys);
     g_test_add_func("/route_table/weights", test_weights);
     g_test_add_func("/route_table/kv_stores",
-                    test_kv_stores_share_the_prompts);
+                    test_prompts_are_divided_over_kv_stores);
     return g_test_run();
 }
