--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -19,12 +19,12 @@
     const struct pgw_gateway *gateway = exchange->gateway;
 
     if (exchange->prefill_is_announced && gateway->sidecars != NULL) {
-        struct pgw_announcement end = {
+        struct pgw_announcement prefill_end = {
             .request = pgw_announced_prompts_id(exchange->facts.id),
         };
 
         gateway->sidecars->announce(gateway->sidecars_context,
-                                    exchange->upstream, &end);
+                                    exchange->upstream, &prefill_end);
     }
     exchange->prefill_is_announced = false;
 }
--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -351,8 +351,7 @@
         return;
     }
     if (connection->call == NULL) {
-        /* The peer closed an idle connection or sent bytes without a request.
-         */
+        /* Closed while idle, or bytes that belong to no request. */
         connection_close(connection);
         return;
     }
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -4,9 +4,8 @@
 #include "util/random.h"
 #include <string.h>
 
-/* When a caller may resend a request that crashes its upstreams. This is the
- * longest time that any caller waits: an earlier retry would be refused too.
- */
+/* When a caller may resend a request that crashes its upstreams: the longest
+ * time that any caller waits, since an earlier retry would be refused too. */
 #define CRASH_QUARANTINE_RETRY_MS 30000
 /* No attempt is started with less time than this before the deadline. */
 #define MIN_ATTEMPT_TIME_US 5000
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -86,8 +86,8 @@
  * @caller: NULL after the caller has disconnected
  * @table: the configuration under which the request was accepted
  * @facts: decoded head; host and key point into the caller's head
- * @fingerprint: of the request's content, the same whoever resends it
- * @waiting: place in the gateway's queue
+ * @fingerprint: hash of the request's content, equal for all who send it
+ * @waiting: link in the gateway's queue
  * @deadline_timer: expires at @deadline_us
  * @attempt_timer: while queued: the longest time in the queue; while sent: the
  *   response timeout of the attempt
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -5,9 +5,7 @@
                              "id: 2\r\ndata: b\r\n\r\n"
                              "weights: 3\nid: 7\ndata: c\n\n";
 
-/* For pieces of any size, the same bytes are returned, split at ends of
- * events.
- */
+/* Pieces of any size return the same bytes, split at ends of events. */
 static void
 test_pieces(void)
 {
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -74,7 +74,7 @@
 }
 
 static void
-test_rejects_unauthorized(void)
+test_refused_before_dispatch(void)
 {
     struct scene *scene = scene_new(1);
 
@@ -141,17 +141,17 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
-    int two;
-
-    g_free(scene_read_request(one));
-    scene_refuse(one);
-    two = scene_accept(scene, 1 - first);
-    g_free(scene_read_request(two));
-    scene_answer(two, "a", 200, "", "ok");
+    int first_fd = scene_accept_any(scene, &first);
+    int second_fd;
+
+    g_free(scene_read_request(first_fd));
+    scene_refuse(first_fd);
+    second_fd = scene_accept(scene, 1 - first);
+    g_free(scene_read_request(second_fd));
+    scene_answer(second_fd, "a", 200, "", "ok");
     expect_ok(caller);
-    close(one);
-    close(two);
+    close(first_fd);
+    close(second_fd);
     scene_free(scene);
 }
 
@@ -166,28 +166,30 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
-    int two;
-
-    g_free(scene_read_request(one));
-    scene_send(one, "HTTP/1.1 421 Other\r\nInstance-Id: i-new\r\n"
-                    "Content-Length: 0\r\n\r\n");
-    two = scene_accept(scene, 1 - first);
-    g_free(scene_read_request(two));
-    scene_answer(two, "a", 200, "", "ok");
+    int first_fd = scene_accept_any(scene, &first);
+    int second_fd;
+
+    g_free(scene_read_request(first_fd));
+    scene_send(first_fd, "HTTP/1.1 421 Other\r\nInstance-Id: i-new\r\n"
+                         "Content-Length: 0\r\n\r\n");
+    second_fd = scene_accept(scene, 1 - first);
+    g_free(scene_read_request(second_fd));
+    scene_answer(second_fd, "a", 200, "", "ok");
     expect_ok(caller);
     for (unsigned i = 0; i < 3; i++) {
         caller = scene_call(scene, "/again/", "b");
-        g_free(scene_read_request(two));
-        scene_answer(two, "b", 200, "", "ok");
+        g_free(scene_read_request(second_fd));
+        scene_answer(second_fd, "b", 200, "", "ok");
         expect_ok(caller);
     }
     g_assert_true(scene_has_no_connection(scene, first));
-    close(one);
-    close(two);
+    close(first_fd);
+    close(second_fd);
     scene_free(scene);
 }
 
+/* When all upstreams answer that they did not run a request, the caller's
+ * answer says so and states when to retry. */
 static void
 test_all_refuse(void)
 {
@@ -220,10 +222,10 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/once/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
+    int first_fd = scene_accept_any(scene, &first);
 
-    g_free(scene_read_request(one));
-    scene_reset(one);
+    g_free(scene_read_request(first_fd));
+    scene_reset(first_fd);
     expect_status(caller, "HTTP/1.1 502 ");
     g_assert_true(scene_has_no_connection(scene, 1 - first));
     scene_free(scene);
@@ -235,16 +237,16 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/again/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
-    int two;
-
-    g_free(scene_read_request(one));
-    scene_reset(one);
-    two = scene_accept(scene, 1 - first);
-    g_free(scene_read_request(two));
-    scene_answer(two, "a", 200, "", "ok");
+    int first_fd = scene_accept_any(scene, &first);
+    int second_fd;
+
+    g_free(scene_read_request(first_fd));
+    scene_reset(first_fd);
+    second_fd = scene_accept(scene, 1 - first);
+    g_free(scene_read_request(second_fd));
+    scene_answer(second_fd, "a", 200, "", "ok");
     expect_ok(caller);
-    close(two);
+    close(second_fd);
     scene_free(scene);
 }
 
@@ -342,24 +344,24 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/flow/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
-    int two;
+    int first_fd = scene_accept_any(scene, &first);
+    int second_fd;
     char *request;
     char *answer;
 
-    g_free(scene_read_request(one));
-    scene_begin_stream(one, "a");
-    scene_chunk(one, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\nda");
+    g_free(scene_read_request(first_fd));
+    scene_begin_stream(first_fd, "a");
+    scene_chunk(first_fd, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\nda");
     g_free(scene_read_until(caller, "id: 2\ndata: x\n\n"));
-    scene_reset(one);
-    two = scene_accept(scene, 1 - first);
-    request = scene_read_request(two);
+    scene_reset(first_fd);
+    second_fd = scene_accept(scene, 1 - first);
+    request = scene_read_request(second_fd);
     assert_has(request, "\r\nLast-Event-Id: 2\r\n");
     g_free(request);
-    scene_begin_stream(two, "a");
-    scene_chunk(two, "id: 3\ndata: y\n\n");
-    scene_chunk(two, "id: 4\ndata: y\n\n");
-    scene_send(two, "0\r\n\r\n");
+    scene_begin_stream(second_fd, "a");
+    scene_chunk(second_fd, "id: 3\ndata: y\n\n");
+    scene_chunk(second_fd, "id: 4\ndata: y\n\n");
+    scene_send(second_fd, "0\r\n\r\n");
     answer = scene_read_until(caller, "\r\n0\r\n\r\n");
     assert_has(answer, "id: 3\ndata: y\n\n");
     assert_has(answer, "id: 4\ndata: y\n\n");
@@ -367,13 +369,13 @@
     assert_lacks(answer, "data: x");
     g_free(answer);
     close(caller);
-    close(two);
+    close(second_fd);
     scene_free(scene);
 }
 
 /* Sets all upstreams to last seen 1.5 s ago. */
 static void
-set_last_seen_long_ago(struct scene *scene)
+set_unresponsive(struct scene *scene)
 {
     pgw_list_foreach (
         link, pgw_upstream_table_all(pgw_gateway_upstreams(scene->gateway))) {
@@ -394,51 +396,51 @@
 test_unresponsive_engine(void)
 {
     struct scene *scene = ready_scene(3);
-    int resumable = scene_call(scene, "/flow/", "a");
-    int not_resumable;
+    int resumable_caller = scene_call(scene, "/flow/", "a");
+    int other_caller;
     unsigned first;
     unsigned second;
-    int one = scene_accept_any(scene, &first);
+    int first_fd = scene_accept_any(scene, &first);
     int other;
-    int two;
+    int second_fd;
     char *request;
     char *answer;
     char byte;
 
-    g_free(scene_read_request(one));
-    scene_begin_stream(one, "a");
-    scene_chunk(one, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
-    g_free(scene_read_until(resumable, "id: 2\ndata: x\n\n"));
+    g_free(scene_read_request(first_fd));
+    scene_begin_stream(first_fd, "a");
+    scene_chunk(first_fd, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
+    g_free(scene_read_until(resumable_caller, "id: 2\ndata: x\n\n"));
     /* Each engine has one slot, so this request gets another engine. */
-    not_resumable = scene_call(scene, "/brook/", "b");
+    other_caller = scene_call(scene, "/brook/", "b");
     other = scene_accept_any(scene, &second);
     g_free(scene_read_request(other));
     scene_begin_stream(other, "b");
     scene_chunk(other, "id: 1\ndata: z\n\n");
-    g_free(scene_read_until(not_resumable, "id: 1\ndata: z\n\n"));
-    scene_run(scene, set_last_seen_long_ago);
+    g_free(scene_read_until(other_caller, "id: 1\ndata: z\n\n"));
+    scene_run(scene, set_unresponsive);
 
-    two = scene_accept(scene, 3 - first - second);
-    request = scene_read_request(two);
+    second_fd = scene_accept(scene, 3 - first - second);
+    request = scene_read_request(second_fd);
     assert_has(request, "\r\nLast-Event-Id: 2\r\n");
     g_free(request);
-    g_assert_cmpint(recv(one, &byte, 1, 0), <=, 0);
-    scene_begin_stream(two, "a");
-    scene_chunk(two, "id: 3\ndata: y\n\n");
-    scene_send(two, "0\r\n\r\n");
-    answer = scene_read_until(resumable, "\r\n0\r\n\r\n");
+    g_assert_cmpint(recv(first_fd, &byte, 1, 0), <=, 0);
+    scene_begin_stream(second_fd, "a");
+    scene_chunk(second_fd, "id: 3\ndata: y\n\n");
+    scene_send(second_fd, "0\r\n\r\n");
+    answer = scene_read_until(resumable_caller, "\r\n0\r\n\r\n");
     assert_has(answer, "id: 3\ndata: y\n\n");
     assert_lacks(answer, "HTTP/1.1");
     g_free(answer);
 
     scene_chunk(other, "id: 2\ndata: z\n\n");
     scene_send(other, "0\r\n\r\n");
-    g_free(scene_read_until(not_resumable, "id: 2\ndata: z\n\n"));
+    g_free(scene_read_until(other_caller, "id: 2\ndata: z\n\n"));
     g_assert_true(scene_has_no_connection(scene, second));
-    close(not_resumable);
-    close(resumable);
-    close(one);
-    close(two);
+    close(other_caller);
+    close(resumable_caller);
+    close(first_fd);
+    close(second_fd);
     close(other);
     scene_free(scene);
 }
@@ -538,14 +540,14 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/brook/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
+    int first_fd = scene_accept_any(scene, &first);
     char *answer;
 
-    g_free(scene_read_request(one));
-    scene_begin_stream(one, "a");
-    scene_chunk(one, "id: 1\ndata: x\n\n");
+    g_free(scene_read_request(first_fd));
+    scene_begin_stream(first_fd, "a");
+    scene_chunk(first_fd, "id: 1\ndata: x\n\n");
     g_free(scene_read_until(caller, "id: 1\ndata: x\n\n"));
-    scene_reset(one);
+    scene_reset(first_fd);
     answer = scene_read_all(caller);
     assert_lacks(answer, "0\r\n\r\n");
     g_free(answer);
@@ -562,22 +564,22 @@
     struct scene *scene = ready_scene(2);
     int caller = scene_call(scene, "/flow/", "a");
     unsigned first;
-    int one = scene_accept_any(scene, &first);
-    int two;
+    int first_fd = scene_accept_any(scene, &first);
+    int second_fd;
     char *answer;
 
-    g_free(scene_read_request(one));
-    scene_begin_stream(one, "a");
-    scene_chunk(one, "id: 1\ndata: x\n\n");
+    g_free(scene_read_request(first_fd));
+    scene_begin_stream(first_fd, "a");
+    scene_chunk(first_fd, "id: 1\ndata: x\n\n");
     g_free(scene_read_until(caller, "id: 1\ndata: x\n\n"));
-    scene_reset(one);
-    two = scene_accept(scene, 1 - first);
-    g_free(scene_read_request(two));
-    scene_answer(two, "a", 400, "", "no");
+    scene_reset(first_fd);
+    second_fd = scene_accept(scene, 1 - first);
+    g_free(scene_read_request(second_fd));
+    scene_answer(second_fd, "a", 400, "", "no");
     answer = scene_read_all(caller);
     assert_lacks(answer, "0\r\n\r\n");
     g_free(answer);
-    close(two);
+    close(second_fd);
     close(caller);
     scene_free(scene);
 }
@@ -623,15 +625,15 @@
     struct scene *scene = ready_scene(1);
     int running = scene_call(scene, "/once/", "a");
     int upstream = scene_accept(scene, 0);
-    int later;
-    int sooner;
+    int queued_first;
+    int queued_second;
     char *request;
 
     g_free(scene_read_request(upstream));
-    later = scene_call_with_key(scene, first, first_path, "b");
+    queued_first = scene_call_with_key(scene, first, first_path, "b");
     /* This answer shows that the request before it was read. */
     expect_status(scene_call(scene, "/none/", "x"), "HTTP/1.1 404 ");
-    sooner = scene_call_with_key(scene, second, second_path, "c");
+    queued_second = scene_call_with_key(scene, second, second_path, "c");
     expect_status(scene_call(scene, "/none/", "y"), "HTTP/1.1 404 ");
     scene_answer(upstream, "a", 200, "", "ok");
     expect_ok(running);
@@ -639,10 +641,10 @@
     assert_has(request, "Attempt-Id: c\r\n");
     g_free(request);
     scene_answer(upstream, "c", 200, "", "ok");
-    expect_ok(sooner);
+    expect_ok(queued_second);
     g_free(scene_read_request(upstream));
     scene_answer(upstream, "b", 200, "", "ok");
-    expect_ok(later);
+    expect_ok(queued_first);
     close(upstream);
     scene_free(scene);
 }
@@ -756,15 +758,15 @@
     unsigned taken;
     int busy = scene_accept_any(scene, &taken);
     int caller = scene_call(scene, "/flow/", "a");
-    int one = scene_accept(scene, 1 - taken);
+    int first_fd = scene_accept(scene, 1 - taken);
     char *answer;
 
     g_free(scene_read_request(busy));
-    g_free(scene_read_request(one));
-    scene_begin_stream(one, "a");
-    scene_chunk(one, "id: 1\ndata: x\n\n");
+    g_free(scene_read_request(first_fd));
+    scene_begin_stream(first_fd, "a");
+    scene_chunk(first_fd, "id: 1\ndata: x\n\n");
     g_free(scene_read_until(caller, "id: 1\ndata: x\n\n"));
-    scene_reset(one);
+    scene_reset(first_fd);
     /* This answer shows that the loop has seen the reset. */
     expect_status(scene_call(scene, "/none/", "n"), "HTTP/1.1 404 ");
     scene_answer(busy, "o", 200, "", "ok");
@@ -902,7 +904,7 @@
     int once;
     int dead;
     int again;
-    int repeat;
+    int retry;
     int successor;
     char *answer;
 
@@ -918,15 +920,15 @@
     g_free(answer);
     close(once);
     again = scene_call(scene, "/again/", "b");
-    repeat = scene_accept(scene, 0);
-    g_free(scene_read_request(repeat));
+    retry = scene_accept(scene, 0);
+    g_free(scene_read_request(retry));
     scene_restart_upstreams(scene);
     successor = scene_accept(scene, 0);
     g_free(scene_read_request(successor));
     scene_answer(successor, "b", 200, "", "ok");
     expect_ok(again);
     close(dead);
-    close(repeat);
+    close(retry);
     close(successor);
     scene_free(scene);
 }
@@ -954,8 +956,8 @@
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
     g_test_add_func("/gateway/relays_unchanged", test_relays_unchanged);
-    g_test_add_func("/gateway/rejects_unauthorized",
-                    test_rejects_unauthorized);
+    g_test_add_func("/gateway/refused_before_dispatch",
+                    test_refused_before_dispatch);
     g_test_add_func("/gateway/revoked", test_revoked_key_stays_revoked);
     g_test_add_func("/gateway/not_run", test_not_run_is_retried);
     g_test_add_func("/gateway/displaced", test_displaced_upstream_is_not_used);
