--- a/tests/unit/test_engine_sidecar.c
+++ b/tests/unit/test_engine_sidecar.c
@@ -47,7 +47,7 @@
 {
     (void)context;
     stage->tokens++;
-    pgw_engine_sidecar_take_token(stage->guard, 40 + stage->tokens);
+    pgw_engine_sidecar_set_token(stage->guard, 40 + stage->tokens);
 }
 
 static bool
