--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -56,7 +56,7 @@
 }
 
 static bool
-may_order(void *context)
+may_send_order(void *context)
 {
     const struct pgw_sidecarless *self = context;
 
@@ -67,7 +67,8 @@
 wanted_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
-    return pgw_gateway_weights(self->gateway, upstream->models[model].model);
+    return pgw_gateway_target_version(self->gateway,
+                                      upstream->models[model].model);
 }
 
 /* Whether some of its weights are known to be older than the named ones. */
@@ -106,7 +107,7 @@
         .codec = self->options.codec,
         .report_lag_us = REPORT_LAG_US,
         .get_token = get_token,
-        .may_order = may_order,
+        .may_send_order = may_send_order,
         .context = self,
     };
     struct ward *ward = g_new0(struct ward, 1);
@@ -288,6 +289,6 @@
     unguarded->token_asked = false;
     g_hash_table_iter_init(&iter, unguarded->wards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_engine_sidecar_take_token(((struct ward *)value)->guard, token);
+        pgw_engine_sidecar_set_token(((struct ward *)value)->guard, token);
     }
 }
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -62,22 +62,22 @@
 static const char *
 why_it_stays(struct pgw_exchange *exchange)
 {
-    if (!pgw_attempt_may_repeat(exchange)) {
+    if (!pgw_attempt_may_retry(exchange)) {
         return "may_not_repeat";
     }
-    if (!pgw_exchange_has_place(exchange)) {
+    if (!pgw_exchange_has_free_upstream(exchange)) {
         return "no_place";
     }
-    return pgw_attempt_take_repeat(exchange) ? NULL : "no_repeat_left";
+    return pgw_attempt_take_retry(exchange) ? NULL : "no_repeat_left";
 }
 
 static void
 note_stuck(struct pgw_exchange *exchange, const char *stays, uint64_t now_us)
 {
-    if (exchange->stuck_told) {
+    if (exchange->stuck_is_logged) {
         return;
     }
-    exchange->stuck_told = true;
+    exchange->stuck_is_logged = true;
     pgw_log_info(
         "request_stuck",
         "request=%s upstream=%s silent_ms=%" G_GUINT64_FORMAT " stays=%s",
@@ -104,8 +104,8 @@
     }
     pgw_metric_counter_add(&moved, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
-    pgw_attempt_repeat(exchange, "silent");
+    pgw_attempt_record_result(exchange, PGW_RESULT_TIMEOUT);
+    pgw_attempt_retry(exchange, "silent");
 }
 
 /* Sent to a process whose place another one has taken, and nothing has come
@@ -118,7 +118,7 @@
 
     return exchange->sent_us < ended && pgw_call_is_running(&exchange->call) &&
            now_us >= MAX(ended, exchange->last_byte_us) +
-                         exchange->gateway->options.last_bytes_us;
+                         exchange->gateway->options.final_answer_grace_us;
 }
 
 /*
@@ -131,7 +131,7 @@
 {
     pgw_metric_counter_add(&orphaned, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_unknown(exchange, "process_ended");
+    pgw_attempt_handle_unknown(exchange, "process_ended");
 }
 
 void
--- a/tests/unit/test_platform_codec.c
+++ b/tests/unit/test_platform_codec.c
@@ -206,7 +206,7 @@
     g_assert_cmpuint(decoded.load.running, ==, 12);
     g_assert_cmpuint(decoded.load.long_prefills, ==, 1);
     g_assert_cmpuint(decoded.run_count, ==, 3);
-    g_assert_cmpuint(decoded.reading, ==, 9);
+    g_assert_cmpuint(decoded.unlisted_runs, ==, 9);
     g_assert_cmpuint(decoded.runs[1].id, ==, pgw_announced_prompts_id("b"));
     g_assert_cmpuint(decoded.runs[1].tokens, ==, 9000);
     g_assert_cmpuint(decoded.runs[1].events, ==, 4);
--- a/tests/unit/test_sidecarless.c
+++ b/tests/unit/test_sidecarless.c
@@ -212,7 +212,7 @@
 test_entry_orders(void)
 {
     stage_open(false);
-    scene_engine_play(&stage->engine, is_ordered);
+    scene_engine_serve(&stage->engine, is_ordered);
     g_assert_nonnull(strstr(stage->engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(stage->engine.order, "\"fence\":41"));
     g_assert_nonnull(strstr(stage->engine.order, "\"holder\":\"entry-1\""));
