--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -36,7 +36,8 @@
 
     end_announcement(exchange);
     upstream->prefill_tokens -= exchange->prefill_tokens;
-    upstream->long_prefills -= exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills -=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     exchange->prefill_tokens = 0;
 }
 
@@ -63,13 +64,15 @@
     struct pgw_upstream *upstream = pgw_upstream_ref(choice->upstream);
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
 
-    pgw_upstream_probe(upstream, pgw_now_us());
+    pgw_upstream_schedule_probe(upstream, pgw_now_us());
     exchange->upstream = upstream;
     exchange->missing_tokens = choice->missing_tokens;
     exchange->load_at_choice =
         pgw_upstream_load_estimate(upstream, pgw_now_us());
     exchange->load_report_age_us =
-        upstream->load_at_us == 0 ? 0 : pgw_now_us() - upstream->load_at_us;
+        upstream->load_reported_at_us == 0
+            ? 0
+            : pgw_now_us() - upstream->load_reported_at_us;
     upstream->inflight++;
     if (exchange->facts.model != NULL) {
         uint32_t unshared_tokens =
@@ -82,7 +85,8 @@
     }
     upstream->inflight_tokens += exchange->reserved_tokens;
     upstream->prefill_tokens += exchange->prefill_tokens;
-    upstream->long_prefills += exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills +=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     if (exchange->tried_count < PGW_TRIED_MAX) {
         exchange->tried[exchange->tried_count++] = pgw_upstream_ref(upstream);
     }
@@ -92,7 +96,7 @@
 pgw_attempt_record_result(struct pgw_exchange *exchange,
                           enum pgw_attempt_result result)
 {
-    pgw_upstream_note(exchange->upstream, result, pgw_now_us());
+    pgw_upstream_record_attempt(exchange->upstream, result, pgw_now_us());
 }
 
 bool
--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -16,7 +16,7 @@
         return;
     }
     sidecar->arrivals_since_poll.requests++;
-    if (message->to_read >= PGW_LONG_PREFILL) {
+    if (message->to_read >= PGW_LONG_PREFILL_TOKENS) {
         pgw_announced_prompts_add(&sidecar->announced_prompts,
                                   message->request, message->to_read,
                                   pgw_now_us());
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -28,8 +28,8 @@
 pgw_sidecar_link_upstream(const struct pgw_sidecar_links *links,
                           const char *engine)
 {
-    return pgw_upstream_table_at(pgw_gateway_upstreams(links->gateway),
-                                 engine);
+    return pgw_upstream_table_find_address(
+        pgw_gateway_upstreams(links->gateway), engine);
 }
 
 /* Sidecars report how many entries are connected to them. A sidecar that has
@@ -62,7 +62,7 @@
         pgw_recent_parts_add(&upstream->expected, key, now_us);
     }
     else {
-        pgw_upstream_hold(upstream, key, update / 2);
+        pgw_upstream_set_cached_part(upstream, key, update / 2);
     }
 }
 
@@ -111,13 +111,13 @@
         pgw_sidecar_link_handle_probe_answer(link, upstream, state, now);
         return;
     }
-    upstream->guarded = true;
-    pgw_upstream_note_seen(upstream, now);
-    pgw_upstream_table_started(pgw_gateway_upstreams(link->links->gateway),
-                               upstream, state->started_ms);
+    upstream->sidecar_is_reporting = true;
+    pgw_upstream_mark_seen(upstream, now);
+    pgw_upstream_table_set_start(pgw_gateway_upstreams(link->links->gateway),
+                                 upstream, state->started_ms);
     pgw_sidecar_links_rollout_apply_report(link->links, upstream, state, now);
     if (state->parts_reset) {
-        pgw_upstream_forget_parts(upstream);
+        pgw_upstream_clear_parts(upstream);
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
@@ -128,7 +128,7 @@
         upstream, state->loading || !state->alive,
         now + (state->alive ? LOADING_VALID_US : UNREACHABLE_VALID_US));
     if (state->alive) {
-        pgw_upstream_take_load(upstream, &load, now);
+        pgw_upstream_update_load(upstream, &load, now);
     }
     else {
         pgw_crash_quarantine_add_crash(
@@ -168,11 +168,11 @@
 static void
 discard_reports(struct pgw_upstream *upstream)
 {
-    upstream->guarded = false;
+    upstream->sidecar_is_reporting = false;
     upstream->loading = false;
-    upstream->loads_since_us = 0;
-    upstream->loads_next = false;
-    pgw_upstream_forget_parts(upstream);
+    upstream->loading_since_us = 0;
+    upstream->is_next_to_load = false;
+    pgw_upstream_clear_parts(upstream);
 }
 
 /* A refused connection shows that no sidecar runs on the machine. A timeout
@@ -489,8 +489,8 @@
     links->remote_probe_only = probe_only;
     pgw_log_info("far_reports", "asked_for=%d entries=%u", (int)probe_only,
                  links->entry_count);
-    pgw_upstream_table_set_divided(pgw_gateway_upstreams(links->gateway),
-                                   probe_only);
+    pgw_upstream_table_set_remote_on_request(
+        pgw_gateway_upstreams(links->gateway), probe_only);
 }
 
 void
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -62,8 +62,8 @@
 version_before_load(const struct pgw_upstream *upstream, size_t model,
                     uint64_t target_version)
 {
-    return upstream->loads_since_us == 0 ? upstream->models[model].version
-                                         : target_version - 1;
+    return upstream->loading_since_us == 0 ? upstream->models[model].version
+                                           : target_version - 1;
 }
 
 /* The engine starts late by itself; if it is selected before that, another
@@ -126,8 +126,8 @@
         MAX(4 * pgw_weights_load_times_expected_us(&links->load_times),
             LOAD_TIMEOUT_MIN_US);
 
-    return upstream->loads_since_us > 0 &&
-           pgw_now_us() - upstream->loads_since_us < limit;
+    return upstream->loading_since_us > 0 &&
+           pgw_now_us() - upstream->loading_since_us < limit;
 }
 
 /* Whether the engine can start to load when it is selected, or is loading. */
@@ -135,9 +135,9 @@
 can_load(const struct sidecar_link *link, const struct pgw_upstream *upstream)
 {
     return link->connection != NULL && !link->probe_only && upstream != NULL &&
-           upstream->guarded && !upstream->leaving && !upstream->removed &&
-           !upstream->displaced &&
-           (!upstream->loading || upstream->loads_since_us > 0);
+           upstream->sidecar_is_reporting && !upstream->leaving &&
+           !upstream->removed && !upstream->displaced &&
+           (!upstream->loading || upstream->loading_since_us > 0);
 }
 
 static void
@@ -169,7 +169,7 @@
             pgw_sidecar_link_upstream(links, link->engine);
         size_t model = index_of_model(upstream, rollout->model);
 
-        upstream->loads_next = engine->starts_next;
+        upstream->is_next_to_load = engine->starts_next;
         if (engine->may_start &&
             link->start_sent[model] != rollout->target_version) {
             link->start_sent[model] = rollout->target_version;
@@ -271,21 +271,21 @@
         pgw_upstream_set_version(upstream, state->models[i]->name,
                                  state->models[i]->version);
     }
-    if (!loads && newer && upstream->loads_since_us > 0) {
+    if (!loads && newer && upstream->loading_since_us > 0) {
         pgw_weights_load_times_add(&links->load_times,
-                                   now_us - upstream->loads_since_us);
+                                   now_us - upstream->loading_since_us);
         pgw_gateway_set_weights_loading_time(
             links->gateway,
             pgw_weights_load_times_expected_us(&links->load_times));
     }
-    if (newer || loads != (upstream->loads_since_us > 0)) {
+    if (newer || loads != (upstream->loading_since_us > 0)) {
         pgw_sidecar_links_rollout_schedule(links);
     }
     if (!loads) {
-        upstream->loads_since_us = 0;
+        upstream->loading_since_us = 0;
     }
-    else if (upstream->loads_since_us == 0) {
-        upstream->loads_since_us = now_us;
+    else if (upstream->loading_since_us == 0) {
+        upstream->loading_since_us = now_us;
     }
 }
 
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -268,7 +268,7 @@
     /* One slot means one request at a time. */
     options.choose.plain_depth = 1.0;
     /* The test never sleeps, so its crashes follow each other closely. */
-    options.crash_quarantine.apart_us = 0;
+    options.crash_quarantine.min_crash_gap_us = 0;
     scene->loop = pgw_loop_new(NULL);
     scene->gateway = pgw_gateway_new(scene->loop, &options, NULL);
     g_assert_nonnull(scene->gateway);
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -171,7 +171,7 @@
         struct pgw_upstream **upstream = simulation->window[i].context;
         size_t engine = (size_t)(upstream - simulation->engines);
 
-        (*upstream)->loads_next = simulation->window[i].starts_next;
+        (*upstream)->is_next_to_load = simulation->window[i].starts_next;
         if (simulation->window[i].may_start) {
             simulation->announced_us[engine] = simulation->now_us;
             pgw_upstream_set_loading(*upstream, true, UINT64_MAX);
--- a/tests/unit/test_sidecar_links.c
+++ b/tests/unit/test_sidecar_links.c
@@ -83,7 +83,7 @@
 {
     pgw_list_foreach (item, pgw_upstream_table_all(
                                 pgw_gateway_upstreams(fixture->gateway))) {
-        pgw_upstream_note_seen(
+        pgw_upstream_mark_seen(
             pgw_container_of(item, struct pgw_upstream, in_table), now_us);
     }
 }
@@ -187,7 +187,7 @@
     g_assert_nonnull(fixture.link);
     upstream =
         pgw_upstream_table_find(pgw_gateway_upstreams(fixture.gateway), "e0");
-    g_assert_false(upstream->guarded);
+    g_assert_false(upstream->sidecar_is_reporting);
     g_assert_cmpuint(upstream->load.running, ==, 0);
     pgw_link_close(fixture.link);
     pgw_listener_free(fixture.sidecar);
