--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -36,7 +36,8 @@
 
     end_announcement(exchange);
     upstream->prefill_tokens -= exchange->prefill_tokens;
-    upstream->long_prefills -= exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills -=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     exchange->prefill_tokens = 0;
 }
 
@@ -63,12 +64,13 @@
     struct pgw_upstream *upstream = pgw_upstream_ref(choice->upstream);
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
 
-    pgw_upstream_probe(upstream, pgw_now_us());
+    pgw_upstream_schedule_probe(upstream, pgw_now_us());
     exchange->upstream = upstream;
     exchange->missing_tokens = choice->missing_tokens;
     exchange->load_seen = pgw_upstream_load_estimate(upstream, pgw_now_us());
-    exchange->load_age_us =
-        upstream->load_at_us == 0 ? 0 : pgw_now_us() - upstream->load_at_us;
+    exchange->load_age_us = upstream->load_reported_at_us == 0
+                                ? 0
+                                : pgw_now_us() - upstream->load_reported_at_us;
     upstream->inflight++;
     if (exchange->facts.model != NULL) {
         uint32_t own = prompt->part_count == 0
@@ -80,7 +82,8 @@
     }
     upstream->inflight_tokens += exchange->counted_tokens;
     upstream->prefill_tokens += exchange->prefill_tokens;
-    upstream->long_prefills += exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills +=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     if (exchange->tried_count < PGW_TRIED_MAX) {
         exchange->tried[exchange->tried_count++] = pgw_upstream_ref(upstream);
     }
@@ -89,7 +92,7 @@
 void
 pgw_attempt_note(struct pgw_exchange *exchange, enum pgw_attempt_result result)
 {
-    pgw_upstream_note(exchange->upstream, result, pgw_now_us());
+    pgw_upstream_record_attempt(exchange->upstream, result, pgw_now_us());
 }
 
 /* Whether the request may be sent to another upstream although this one may
--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -140,7 +140,7 @@
 static bool
 is_weighed_whole(const struct pgw_upstream_pool *pool)
 {
-    return !pool->divided && pool->all->len <= PGW_CANDIDATES_MAX;
+    return !pool->remote_on_request && pool->all->len <= PGW_CANDIDATES_MAX;
 }
 
 void
@@ -182,12 +182,12 @@
     if (from == PGW_CANDIDATES_ANYWHERE) {
         drawn = DRAWN_ANYWHERE;
     }
-    else if (!out->all && pool->near->len >= NEAR_MIN) {
-        source = pool->near;
+    else if (!out->all && pool->local->len >= NEAR_MIN) {
+        source = pool->local;
     }
     /* Of engines in other zones that do not report nothing is known, and each
      * looks idle: some are drawn, so that not all take the first in rank. */
-    known = out->all || source == pool->near;
+    known = out->all || source == pool->local;
     if (known && source->len <= PGW_CANDIDATES_MAX) {
         add_all(out, source, random);
     }
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -73,7 +73,7 @@
     if (!upstream->same_zone) {
         cost += 0.5;
     }
-    if (now_us < upstream->cold_until_us) {
+    if (now_us < upstream->warmup_until_us) {
         cost += 0.5;
     }
     /* An upstream that fails every second call is worth half a round more. */
@@ -152,8 +152,8 @@
     for (size_t i = 0; i + 1 < prompt->part_count; i++) {
         uint64_t key = pgw_part_key(input->model, salt, prompt->parts[i].id);
 
-        if (!pgw_upstream_holds(upstream, key, prompt->parts[i].tokens,
-                                expected, input->now_us)) {
+        if (!pgw_upstream_has_part(upstream, key, prompt->parts[i].tokens,
+                                   expected, input->now_us)) {
             break;
         }
         missing -= prompt->parts[i].tokens;
@@ -273,8 +273,9 @@
         return 0;
     }
     return upstream->load.unread > 0
-               ? pgw_upstream_unread(upstream, read_rate, now_us)
-               : pgw_upstream_long_prefills(upstream, now_us) *
+               ? pgw_upstream_others_pending_tokens(upstream, read_rate,
+                                                    now_us)
+               : pgw_upstream_others_long_prefills(upstream, now_us) *
                      options->long_prefill_tokens;
 }
 
@@ -302,7 +303,7 @@
         (is_home(survey, position) || survey->missing[position] == 0) &&
         pgw_upstream_version(upstream, input->model) >=
             input->newest_version &&
-        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL;
+        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL_TOKENS;
 
     return (affine ? options->home_depth : options->engine_depth) *
            upstream->slots;
@@ -320,9 +321,9 @@
                  const struct pgw_choose_options *options)
 {
     double there = upstream->long_prefills +
-                   pgw_upstream_long_prefills(upstream, input->now_us);
+                   pgw_upstream_others_long_prefills(upstream, input->now_us);
 
-    return tokens < PGW_LONG_PREFILL ||
+    return tokens < PGW_LONG_PREFILL_TOKENS ||
            there < MAX(options->long_share * upstream->slots, 1);
 }
 
@@ -375,7 +376,7 @@
                        options, input->now_us);
     cost += survey->candidates.rank[position] * rank_tokens;
     cost += stray_cost(position, input, options, survey);
-    if (upstream->loads_next) {
+    if (upstream->is_next_to_load) {
         cost += MAX(input->run_ms - input->turn_ms, 0) * options->delay_share *
                 input->read_rate;
     }
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -238,8 +238,8 @@
         return;
     }
     if (exchange->upstream != NULL) {
-        pgw_upstream_note(exchange->upstream, PGW_RESULT_TIMEOUT,
-                          pgw_now_us());
+        pgw_upstream_record_attempt(exchange->upstream, PGW_RESULT_TIMEOUT,
+                                    pgw_now_us());
     }
     pgw_exchange_refuse(exchange, 504, "deadline", 0);
 }
--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -14,7 +14,7 @@
         return;
     }
     guard->arrivals.requests++;
-    if (message->to_read >= PGW_LONG_PREFILL) {
+    if (message->to_read >= PGW_LONG_PREFILL_TOKENS) {
         pgw_announced_prompts_add(&guard->announced, message->request,
                                   message->to_read, pgw_now_us());
     }
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -86,7 +86,7 @@
         uint64_t key =
             pgw_part_key(exchange->facts.model, salt, prompt->parts[i].id);
 
-        if (!pgw_upstream_holds(upstream, key, tokens, true, now)) {
+        if (!pgw_upstream_has_part(upstream, key, tokens, true, now)) {
             unknown[count++] =
                 (struct pgw_shared_part){.key = key, .tokens = tokens};
         }
@@ -97,12 +97,12 @@
     announcement.memory = prompt->tokens + prompt->output_tokens;
     announcement.request = pgw_announced_prompts_id(exchange->facts.id);
     announcement.count = count;
-    if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL) &&
+    if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL_TOKENS) &&
         gateway->sidecars != NULL &&
         pgw_policy_is_on(&gateway->options.policy, PGW_EXPECTED_PARTS)) {
         gateway->sidecars->announce(gateway->sidecars_context, upstream,
                                     &announcement);
-        exchange->announced = announcement.to_read >= PGW_LONG_PREFILL;
+        exchange->announced = announcement.to_read >= PGW_LONG_PREFILL_TOKENS;
     }
 }
 
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -45,7 +45,7 @@
     struct pgw_answer_facts facts = {0};
 
     exchange->last_byte_us = pgw_now_us();
-    pgw_upstream_note_answer(exchange->upstream, exchange->last_byte_us);
+    pgw_upstream_mark_answering(exchange->upstream, exchange->last_byte_us);
     codec->read_answer(&facts, head);
     /*
      * Failure: the answer to an earlier request on this connection comes late,
@@ -61,7 +61,8 @@
     }
 #endif
     if (facts.has_load) {
-        pgw_upstream_take_load(exchange->upstream, &facts.load, pgw_now_us());
+        pgw_upstream_update_load(exchange->upstream, &facts.load,
+                                 pgw_now_us());
     }
     exchange->status = head->status;
     exchange->not_run = facts.not_run;
@@ -73,7 +74,7 @@
             pgw_log_info("upstream_displaced", "upstream=%s by=%s",
                          exchange->upstream->id, facts.instance);
             exchange->upstream->displaced = true;
-            exchange->upstream->ended_at_us = pgw_now_us();
+            exchange->upstream->replaced_at_us = pgw_now_us();
             pgw_crash_quarantine_add_crash(exchange->gateway->poison,
                                            exchange->upstream->id,
                                            pgw_now_us());
@@ -116,7 +117,7 @@
         exchange->prefill_tokens - MIN(fetched, exchange->prefill_tokens);
 
     if (exchange->sends != 1 || exchange->load_seen > 1 ||
-        read < PGW_LONG_PREFILL) {
+        read < PGW_LONG_PREFILL_TOKENS) {
         return;
     }
     pgw_moving_average_add(
@@ -171,7 +172,7 @@
     struct pgw_exchange *exchange = exchange_of(call);
 
     exchange->last_byte_us = pgw_now_us();
-    pgw_upstream_note_answer(exchange->upstream, exchange->last_byte_us);
+    pgw_upstream_mark_answering(exchange->upstream, exchange->last_byte_us);
     if (exchange->not_run || exchange->caller == NULL) {
         return;
     }
@@ -262,7 +263,7 @@
         }
     }
     else {
-        pgw_attempt_note(exchange, PGW_RESULT_GOOD);
+        pgw_attempt_note(exchange, PGW_RESULT_COMPLETED);
         pgw_crash_quarantine_clear(exchange->gateway->poison,
                                    &exchange->fingerprint);
     }
--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -89,9 +89,9 @@
 needs_orders(const struct pgw_sidecarless *self,
              const struct pgw_upstream *upstream)
 {
-    return upstream->same_zone && !upstream->guarded && !upstream->leaving &&
-           !upstream->removed && upstream->delisted_until_us == 0 &&
-           is_behind(self, upstream) &&
+    return upstream->same_zone && !upstream->sidecar_is_reporting &&
+           !upstream->leaving && !upstream->removed &&
+           upstream->delisted_until_us == 0 && is_behind(self, upstream) &&
            pgw_sidecar_links_is_refused(self->links, upstream,
                                         self->options.refused_us);
 }
@@ -192,7 +192,7 @@
     void *context = self->options.context;
 
     switch (pgw_lease_step(&self->lease, pgw_boot_now_us())) {
-    case PGW_LEASE_REST:
+    case PGW_LEASE_IDLE:
         break;
     case PGW_LEASE_READ:
         store->read(context);
@@ -217,7 +217,7 @@
         self->held = holds;
     }
     drop_wards(self, !holds);
-    pgw_lease_want(&self->lease, look(self, holds));
+    pgw_lease_set_wanted(&self->lease, look(self, holds));
     step_lease(self);
 }
 
@@ -261,26 +261,26 @@
 }
 
 void
-pgw_sidecarless_take_read(struct pgw_sidecarless *unguarded,
-                          enum pgw_lease_result result, bool mine,
-                          uint64_t number, uint64_t revision)
+pgw_sidecarless_finish_read(struct pgw_sidecarless *unguarded,
+                            enum pgw_lease_result result, bool mine,
+                            uint64_t number, uint64_t revision)
 {
-    pgw_lease_take_read(&unguarded->lease, result, mine, number, revision,
-                        pgw_boot_now_us());
+    pgw_lease_finish_read(&unguarded->lease, result, mine, number, revision,
+                          pgw_boot_now_us());
     step_lease(unguarded);
 }
 
 void
-pgw_sidecarless_take_write(struct pgw_sidecarless *unguarded,
-                           enum pgw_lease_result result, uint64_t revision)
+pgw_sidecarless_finish_write(struct pgw_sidecarless *unguarded,
+                             enum pgw_lease_result result, uint64_t revision)
 {
-    pgw_lease_take_write(&unguarded->lease, result, revision,
-                         pgw_boot_now_us());
+    pgw_lease_finish_write(&unguarded->lease, result, revision,
+                           pgw_boot_now_us());
     tick(unguarded);
 }
 
 void
-pgw_sidecarless_take_token(struct pgw_sidecarless *unguarded, uint64_t token)
+pgw_sidecarless_finish_token(struct pgw_sidecarless *unguarded, uint64_t token)
 {
     GHashTableIter iter;
     gpointer value;
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -37,7 +37,7 @@
                      "upstream=%s silent=%d heard_ms=%" G_GUINT64_FORMAT
                      " inflight=%u",
                      upstream->id, silent,
-                     pgw_upstream_unseen_us(upstream, now_us) / 1000,
+                     pgw_upstream_since_seen_us(upstream, now_us) / 1000,
                      upstream->inflight);
     }
     return silent;
@@ -54,7 +54,7 @@
         return false;
     }
     return exchange->phase == PGW_PHASE_RELAYING
-               ? pgw_upstream_unseen_us(upstream, now_us) >= STILL_US
+               ? pgw_upstream_since_seen_us(upstream, now_us) >= STILL_US
                : pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE;
 }
 
@@ -82,7 +82,7 @@
         "request_stuck",
         "request=%s upstream=%s silent_ms=%" G_GUINT64_FORMAT " stays=%s",
         exchange->facts.id, exchange->upstream->id,
-        pgw_upstream_unseen_us(exchange->upstream, now_us) / 1000, stays);
+        pgw_upstream_since_seen_us(exchange->upstream, now_us) / 1000, stays);
 }
 
 /*
@@ -114,7 +114,7 @@
 is_orphaned(const struct pgw_exchange *exchange, uint64_t now_us)
 {
     uint64_t ended =
-        exchange->upstream == NULL ? 0 : exchange->upstream->ended_at_us;
+        exchange->upstream == NULL ? 0 : exchange->upstream->replaced_at_us;
 
     return exchange->sent_us < ended && pgw_call_is_running(&exchange->call) &&
            now_us >= MAX(ended, exchange->last_byte_us) +
@@ -135,7 +135,7 @@
 }
 
 void
-pgw_unresponsive_look(struct pgw_gateway *gateway)
+pgw_unresponsive_check(struct pgw_gateway *gateway)
 {
     uint64_t now = pgw_now_us();
     unsigned silent = 0;
@@ -165,7 +165,7 @@
     struct pgw_gateway *gateway =
         pgw_container_of(timer, struct pgw_gateway, unresponsive_timer);
 
-    pgw_unresponsive_look(gateway);
+    pgw_unresponsive_check(gateway);
     pgw_timer_start(gateway->loop, timer, LOOK_US);
 }
 
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -3,50 +3,50 @@
 #include "util/log.h"
 #include <string.h>
 
-/* After this time a report says nothing any more: requests of this size last
- * a few hundred milliseconds. */
+/* A load report is worthless after this time: most requests last a few hundred
+ * milliseconds. */
 #define LOAD_FADE_US 1000000
-/* A long prompt is read in some hundred milliseconds. */
-#define LONG_FADE_US 400000
-/* Sidecars report at least once a second; what was said longer ago may concern
- * a process that is gone. */
-#define UNREAD_MAX_US 1200000
-/* Weight of one attempt in the moving failure rate: about the last 16 count.
- */
-#define RATE_WEIGHT (1.0 / 16.0)
-/* First pause after an upstream could not be reached or broke off; doubled
- * with each failure in a row. A server that restarts needs seconds. */
-#define AVOID_BASE_US 100000
-#define AVOID_MAX_US 2000000
-/* Pause after it said that it is full: about the time of one short request.
- * Doubled with each refusal in a row up to eight times that, which is about
- * the time that loading weights takes. */
-#define FULL_BASE_US 30000
-#define FULL_DOUBLINGS_MAX 3
-
-/* Sidecars speak once a second, to entries of other zones up to twice as
- * seldom; a busy upstream is heard many times a second. */
-#define SUSPECT_NEAR_US 1250000
-#define SUSPECT_FAR_US 2500000
+/* The prefill of a long prompt takes some hundred milliseconds. */
+#define LONG_PREFILL_FADE_US 400000
+/* Sidecars report at least once a second. Pending tokens of an older report
+ * may belong to a process that has ended. */
+#define PENDING_MAX_AGE_US 1200000
+/* Weight of one attempt in the moving average of failures, which so covers
+ * about the last 16 attempts. */
+#define FAILURE_RATE_WEIGHT (1.0 / 16.0)
+/* First backoff after an upstream was unreachable or its connection broke,
+ * doubled with each consecutive failure. A server needs seconds to restart. */
+#define AVOID_BACKOFF_BASE_US 100000
+#define AVOID_BACKOFF_MAX_US 2000000
+/* Backoff after an upstream refused a request: about the time of one short
+ * request. Doubled with each consecutive refusal up to eight times that, which
+ * is about the time that loading weights takes. */
+#define FULL_BACKOFF_BASE_US 30000
+#define FULL_BACKOFF_DOUBLINGS_MAX 3
+
+/* Sidecars report once a second, and at half that rate at worst to entries in
+ * remote zones. A busy upstream sends bytes many times a second. */
+#define SUSPECT_LOCAL_ZONE_US 1250000
+#define SUSPECT_REMOTE_ZONE_US 2500000
 #define UNRESPONSIVE_US 2500000
-/* Requests to a silent upstream are so far apart. */
-#define PROBE_US 1000000
+/* Time between two requests to an unresponsive upstream. */
+#define PROBE_INTERVAL_US 1000000
 
-/* Tokens of one block of an engine's memory. */
+/* Tokens of one block of an engine's KV cache. */
 #define KV_BLOCK_TOKENS 16
-/* A part of a request that was sent there counts as held for this time; by
- * then the sidecar has told what became of it. */
-#define EXPECTED_US 1500000
-/* The same where no sidecar tells: engines keep a shared part for some
- * seconds. */
-#define GUESS_US 8000000
+/* A part of a request that was sent to an engine is expected to be cached for
+ * this time. After it the sidecar has reported whether it is. */
+#define EXPECTED_PART_US 1500000
+/* The same without reports of a sidecar: engines keep a shared part cached for
+ * some seconds. */
+#define UNCONFIRMED_PART_US 8000000
 
 struct pgw_upstream_table {
     char *zone;
     GHashTable *by_id;
-    GHashTable *by_address; /* an address has one upstream, the newest */
+    GHashTable *by_address; /* the upstream that an address belongs to */
     GHashTable *by_service; /* name -> struct pgw_upstream_pool */
-    bool divided;
+    bool remote_on_request;
     struct pgw_list all;
     void (*on_lost)(struct pgw_upstream *upstream, void *context);
     void *context;
@@ -58,7 +58,7 @@
     struct pgw_upstream_pool *pool = data;
 
     g_ptr_array_unref(pool->all);
-    g_ptr_array_unref(pool->near);
+    g_ptr_array_unref(pool->local);
     g_free(pool);
 }
 
@@ -99,7 +99,7 @@
         return;
     }
     models_clear(upstream);
-    g_hash_table_destroy(upstream->held);
+    g_hash_table_destroy(upstream->cached_parts);
     g_free(upstream->id);
     g_free(upstream->service);
     g_free(upstream->zone);
@@ -141,7 +141,7 @@
     if (pool == NULL) {
         pool = g_new0(struct pgw_upstream_pool, 1);
         pool->all = g_ptr_array_new();
-        pool->near = g_ptr_array_new();
+        pool->local = g_ptr_array_new();
         g_hash_table_insert(table->by_service, g_strdup(service), pool);
     }
     return pool;
@@ -155,24 +155,25 @@
 
     g_ptr_array_add(pool->all, upstream);
     if (upstream->same_zone) {
-        g_ptr_array_add(pool->near, upstream);
+        g_ptr_array_add(pool->local, upstream);
     }
     pool->engines = pool->engines || engine;
-    pool->divided = pool->engines && table->divided;
+    pool->remote_on_request = pool->engines && table->remote_on_request;
 }
 
 void
-pgw_upstream_table_set_divided(struct pgw_upstream_table *table, bool divided)
+pgw_upstream_table_set_remote_on_request(struct pgw_upstream_table *table,
+                                         bool remote_on_request)
 {
     GHashTableIter iter;
     void *value;
 
-    table->divided = divided;
+    table->remote_on_request = remote_on_request;
     g_hash_table_iter_init(&iter, table->by_service);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pgw_upstream_pool *pool = value;
 
-        pool->divided = pool->engines && divided;
+        pool->remote_on_request = pool->engines && remote_on_request;
     }
 }
 
@@ -191,7 +192,7 @@
         return NULL;
     }
     upstream->references = 1;
-    upstream->held =
+    upstream->cached_parts =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     upstream->id = g_strdup(facts->id);
     upstream->service = g_strdup(facts->service);
@@ -207,62 +208,65 @@
 }
 
 /*
- * Failure: an upstream crashes and is back under the same address, or another
- * service gets the address, while the line of the one before has not lapsed.
- * Symptom: half of the requests go to an incarnation that is not there and
- * come back "not run" until the line lapses after seconds. An address belongs
- * to the newest line that names it.
+ * Failure: an upstream crashes and restarts at the same address, or another
+ * service gets the address, before the line of the former upstream expires.
+ * Symptom: half of the requests go to an incarnation that no longer exists and
+ * are refused as "not run" until the line expires, seconds later. An address
+ * belongs to the newest line that names it, so only its upstream is used.
  *
- * Return: false when another line is newer than @facts.
+ * Return: false if another line is newer than @facts.
  */
 static bool
 claim_address(struct pgw_upstream_table *table,
               const struct pgw_upstream_facts *facts)
 {
 #ifndef PGW_DISABLE_GATEWAY_ADDRESS
-    struct pgw_upstream *other = pgw_upstream_table_at(table, facts->address);
+    struct pgw_upstream *other =
+        pgw_upstream_table_find_address(table, facts->address);
 
     if (other != NULL) {
-        /* One that was seen not to be there keeps no address. */
+        /* A displaced upstream gives up its address, also if its line is
+         * newer. */
         if (other->revision > facts->revision && !other->displaced) {
             return false;
         }
         pgw_log_info("upstream_replaced", "upstream=%s by=%s", other->id,
                      facts->id);
-        other->ended_at_us = (uint64_t)g_get_monotonic_time();
+        other->replaced_at_us = (uint64_t)g_get_monotonic_time();
         pgw_upstream_table_remove(table, other);
     }
 #endif
     return true;
 }
 
-/* Nothing that was believed of the process before holds for the new one. */
+/* Resets all state of the former process: none of it applies to the new one.
+ */
 static void
-forget_process(struct pgw_upstream *upstream)
+reset_process_state(struct pgw_upstream *upstream)
 {
     upstream->leaving = false;
     upstream->displaced = false;
     upstream->loading = false;
-    upstream->loads_since_us = 0;
-    upstream->cold_until_us = 0;
+    upstream->loading_since_us = 0;
+    upstream->warmup_until_us = 0;
     upstream->load = (struct pgw_upstream_load){0};
     upstream->last_seen_us = 0;
     upstream->probe_at_us = 0;
-    upstream->load_at_us = 0;
-    upstream->memory_at_us = 0;
+    upstream->load_reported_at_us = 0;
+    upstream->kv_reported_at_us = 0;
     upstream->failures = 0;
     upstream->failure_rate = 0;
     upstream->avoid_until_us = 0;
     upstream->refusals = 0;
     upstream->full_until_us = 0;
-    pgw_upstream_forget_parts(upstream);
+    pgw_upstream_clear_parts(upstream);
 }
 
 static bool
 is_earlier_start(const struct pgw_upstream *upstream, uint64_t started_ms)
 {
-    for (size_t i = 0; i < upstream->earlier_count; i++) {
-        if (upstream->earlier_ms[i] == started_ms) {
+    for (size_t i = 0; i < upstream->earlier_start_count; i++) {
+        if (upstream->earlier_starts_ms[i] == started_ms) {
             return true;
         }
     }
@@ -270,19 +274,20 @@
 }
 
 static void
-remember_start(struct pgw_upstream *upstream, uint64_t started_ms)
+add_earlier_start(struct pgw_upstream *upstream, uint64_t started_ms)
 {
-    if (upstream->earlier_count == PGW_UPSTREAM_STARTS_MAX) {
-        memmove(upstream->earlier_ms, upstream->earlier_ms + 1,
+    if (upstream->earlier_start_count == PGW_UPSTREAM_STARTS_MAX) {
+        memmove(upstream->earlier_starts_ms, upstream->earlier_starts_ms + 1,
                 (PGW_UPSTREAM_STARTS_MAX - 1) * sizeof(uint64_t));
-        upstream->earlier_count--;
+        upstream->earlier_start_count--;
     }
-    upstream->earlier_ms[upstream->earlier_count++] = started_ms;
+    upstream->earlier_starts_ms[upstream->earlier_start_count++] = started_ms;
 }
 
 void
-pgw_upstream_table_started(struct pgw_upstream_table *table,
-                           struct pgw_upstream *upstream, uint64_t started_ms)
+pgw_upstream_table_set_start(struct pgw_upstream_table *table,
+                             struct pgw_upstream *upstream,
+                             uint64_t started_ms)
 {
     uint64_t before = upstream->started_ms;
 
@@ -291,30 +296,30 @@
     }
     upstream->started_ms = started_ms;
     if (before == 0) {
-        return; /* the first word of it */
+        return; /* the first known start is not a restart */
     }
     pgw_log_info("upstream_restarted",
                  "upstream=%s started_ms=%" G_GUINT64_FORMAT
                  " before_ms=%" G_GUINT64_FORMAT,
                  upstream->id, started_ms, before);
-    remember_start(upstream, before);
-    upstream->ended_at_us = (uint64_t)g_get_monotonic_time();
+    add_earlier_start(upstream, before);
+    upstream->replaced_at_us = (uint64_t)g_get_monotonic_time();
     if (!upstream->leaving && table->on_lost != NULL) {
         table->on_lost(upstream, table->context);
     }
-    forget_process(upstream);
+    reset_process_state(upstream);
 }
 
 /*
- * Failure: an upstream crashes and starts again under its id; a line that its
- * former process wrote arrives behind one of the new process. Symptom: what
- * the former held, ran or refused is believed of the new one, or one that has
- * started again is taken to be leaving for ever. Starts that are over are
- * remembered, and lines of theirs are passed over.
+ * Failure: an upstream crashes and restarts with the same id, and a line that
+ * the former process wrote arrives after a line of the new process. Symptom:
+ * cached parts, load and refusals of the former process are attributed to the
+ * new one, or the restarted upstream counts as leaving for ever. The start
+ * times of former processes are kept, and lines with one of them are ignored.
  */
 static bool
-is_late_word(const struct pgw_upstream *upstream,
-             const struct pgw_upstream_facts *facts)
+is_from_earlier_process(const struct pgw_upstream *upstream,
+                        const struct pgw_upstream_facts *facts)
 {
     bool late = facts->started_ms != 0 &&
                 is_earlier_start(upstream, facts->started_ms);
@@ -337,30 +342,30 @@
     if (upstream == NULL) {
         return NULL;
     }
-    if (is_late_word(upstream, facts)) {
+    if (is_from_earlier_process(upstream, facts)) {
         return upstream;
     }
-    pgw_upstream_table_started(table, upstream, facts->started_ms);
+    pgw_upstream_table_set_start(table, upstream, facts->started_ms);
     upstream->slots = MAX(facts->slots, 1);
     upstream->revision = facts->revision;
     upstream->displaced = false;
     upstream->delisted_until_us = 0;
     /*
-     * Failure: an old copy of the list arrives late and says "ready" of an
-     * upstream that is leaving. Symptom: it is given requests that it drops.
-     * A process that leaves never stays, so leaving holds for all its time.
+     * Failure: an old copy of the list arrives late and shows a draining
+     * upstream as ready. Symptom: the upstream gets requests that it drops. A
+     * process that drains always ends, so it counts as leaving until then.
      */
 #ifndef PGW_DISABLE_GATEWAY_LEAVING
     upstream->leaving = upstream->leaving || facts->leaving;
 #else
     upstream->leaving = facts->leaving;
 #endif
-    upstream->cold_until_us =
-        facts->cold_ms == 0
+    upstream->warmup_until_us =
+        facts->warmup_ms == 0
             ? 0
-            : (uint64_t)g_get_monotonic_time() + facts->cold_ms * 1000ULL;
-    /* The sidecar's word is newer than the list's. */
-    if (!upstream->guarded) {
+            : (uint64_t)g_get_monotonic_time() + facts->warmup_ms * 1000ULL;
+    /* The sidecar's report is newer than the list. */
+    if (!upstream->sidecar_is_reporting) {
         for (size_t i = 0; i < facts->model_count; i++) {
             pgw_upstream_set_version(upstream, facts->models[i].model,
                                      facts->models[i].version);
@@ -379,11 +384,12 @@
         table->on_lost(upstream, table->context);
     }
     g_hash_table_remove(table->by_id, upstream->id);
-    if (pgw_upstream_table_at(table, upstream->address_text) == upstream) {
+    if (pgw_upstream_table_find_address(table, upstream->address_text) ==
+        upstream) {
         g_hash_table_remove(table->by_address, upstream->address_text);
     }
     g_ptr_array_remove(pool->all, upstream);
-    g_ptr_array_remove(pool->near, upstream);
+    g_ptr_array_remove(pool->local, upstream);
     pgw_list_remove(&upstream->in_table);
     upstream->removed = true;
     pgw_upstream_unref(upstream);
@@ -396,8 +402,8 @@
 }
 
 struct pgw_upstream *
-pgw_upstream_table_at(const struct pgw_upstream_table *table,
-                      const char *address)
+pgw_upstream_table_find_address(const struct pgw_upstream_table *table,
+                                const char *address)
 {
     return g_hash_table_lookup(table->by_address, address);
 }
@@ -441,53 +447,54 @@
 }
 
 void
-pgw_upstream_note_seen(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_mark_seen(struct pgw_upstream *upstream, uint64_t now_us)
 {
     upstream->last_seen_us = now_us;
     upstream->probe_at_us = 0;
 }
 
 void
-pgw_upstream_note_answer(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_mark_answering(struct pgw_upstream *upstream, uint64_t now_us)
 {
     if (upstream->last_seen_us > 0) {
-        pgw_upstream_note_seen(upstream, now_us);
+        pgw_upstream_mark_seen(upstream, now_us);
     }
 }
 
 uint64_t
-pgw_upstream_unseen_us(const struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_since_seen_us(const struct pgw_upstream *upstream,
+                           uint64_t now_us)
 {
-    uint64_t silent_us =
+    uint64_t since_seen_us =
         upstream->last_seen_us == 0 || now_us < upstream->last_seen_us
             ? 0
             : now_us - upstream->last_seen_us;
 
 #ifdef PGW_DISABLE_GATEWAY_SILENT
-    silent_us = 0;
+    since_seen_us = 0;
 #endif
-    return silent_us;
+    return since_seen_us;
 }
 
 enum pgw_liveness
 pgw_upstream_liveness(const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t silent_us = pgw_upstream_unseen_us(upstream, now_us);
+    uint64_t since_seen_us = pgw_upstream_since_seen_us(upstream, now_us);
 
-    if (silent_us >= UNRESPONSIVE_US) {
+    if (since_seen_us >= UNRESPONSIVE_US) {
         return PGW_UNRESPONSIVE;
     }
-    return silent_us >=
-                   (upstream->same_zone ? SUSPECT_NEAR_US : SUSPECT_FAR_US)
+    return since_seen_us >= (upstream->same_zone ? SUSPECT_LOCAL_ZONE_US
+                                                 : SUSPECT_REMOTE_ZONE_US)
                ? PGW_SUSPECT
                : PGW_RESPONSIVE;
 }
 
 void
-pgw_upstream_probe(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_schedule_probe(struct pgw_upstream *upstream, uint64_t now_us)
 {
     if (pgw_upstream_liveness(upstream, now_us) == PGW_UNRESPONSIVE) {
-        upstream->probe_at_us = now_us + PROBE_US;
+        upstream->probe_at_us = now_us + PROBE_INTERVAL_US;
     }
 }
 
@@ -513,8 +520,8 @@
         entry->version = 0;
     }
     if (version > entry->version) {
-        /* New weights drop everything that was computed under the old. */
-        pgw_upstream_forget_parts(upstream);
+        /* An engine drops its KV cache when it loads new weights. */
+        pgw_upstream_clear_parts(upstream);
         entry->version = version;
     }
 }
@@ -531,68 +538,72 @@
 }
 
 void
-pgw_upstream_hold(struct pgw_upstream *upstream, uint64_t key, uint32_t tokens)
+pgw_upstream_set_cached_part(struct pgw_upstream *upstream, uint64_t key,
+                             uint32_t tokens)
 {
     if (tokens == 0) {
-        g_hash_table_remove(upstream->held, &key);
+        g_hash_table_remove(upstream->cached_parts, &key);
         pgw_recent_parts_remove(&upstream->expected, key);
         return;
     }
-    g_hash_table_replace(upstream->held, g_memdup2(&key, sizeof(key)),
+    g_hash_table_replace(upstream->cached_parts, g_memdup2(&key, sizeof(key)),
                          GUINT_TO_POINTER(tokens));
 }
 
 void
-pgw_upstream_forget_parts(struct pgw_upstream *upstream)
+pgw_upstream_clear_parts(struct pgw_upstream *upstream)
 {
-    g_hash_table_remove_all(upstream->held);
+    g_hash_table_remove_all(upstream->cached_parts);
     pgw_recent_parts_clear(&upstream->expected);
 }
 
 bool
-pgw_upstream_holds(const struct pgw_upstream *upstream, uint64_t key,
-                   uint32_t tokens, bool expected, uint64_t now_us)
+pgw_upstream_has_part(const struct pgw_upstream *upstream, uint64_t key,
+                      uint32_t tokens, bool expected, uint64_t now_us)
 {
-    uint32_t held =
-        GPOINTER_TO_UINT(g_hash_table_lookup(upstream->held, &key));
+    uint32_t cached =
+        GPOINTER_TO_UINT(g_hash_table_lookup(upstream->cached_parts, &key));
 
-    /* Memory goes by blocks: the last, broken one of a part is not kept. */
-    if (held > 0 && held + KV_BLOCK_TOKENS > tokens) {
+    /* The KV cache keeps whole blocks: the last, partial block of a part is
+     * not cached. */
+    if (cached > 0 && cached + KV_BLOCK_TOKENS > tokens) {
         return true;
     }
     return expected &&
            pgw_recent_parts_has(&upstream->expected, key,
-                                upstream->guarded ? now_us - EXPECTED_US
-                                                  : now_us - GUESS_US);
+                                upstream->sidecar_is_reporting
+                                    ? now_us - EXPECTED_PART_US
+                                    : now_us - UNCONFIRMED_PART_US);
 }
 
 void
-pgw_upstream_take_load(struct pgw_upstream *upstream,
-                       const struct pgw_upstream_load *load, uint64_t now_us)
+pgw_upstream_update_load(struct pgw_upstream *upstream,
+                         const struct pgw_upstream_load *load, uint64_t now_us)
 {
     upstream->load.running = load->running;
     upstream->load.waiting = load->waiting;
-    upstream->load_at_us = now_us;
-    upstream->load_own = upstream->inflight;
+    upstream->load_reported_at_us = now_us;
+    upstream->own_inflight_at_report = upstream->inflight;
     if (load->slots > 0) {
         upstream->slots = load->slots;
     }
     if (load->kv_total == 0) {
-        return; /* an answer's head says nothing of memory */
+        return; /* a load report in an answer's head has no KV cache usage */
     }
     upstream->load.kv_used = load->kv_used;
     upstream->load.kv_total = load->kv_total;
     upstream->load.long_prefills = load->long_prefills;
     upstream->load.unread = load->unread;
-    upstream->memory_at_us = now_us;
-    upstream->load_own_tokens = upstream->inflight_tokens;
-    upstream->load_own_long = upstream->long_prefills;
-    upstream->load_own_unread = upstream->prefill_tokens;
+    upstream->kv_reported_at_us = now_us;
+    upstream->own_tokens_at_report = upstream->inflight_tokens;
+    upstream->own_long_prefills_at_report = upstream->long_prefills;
+    upstream->own_prefill_tokens_at_report = upstream->prefill_tokens;
 }
 
-/* What others had there when the report was made, fading with its age. */
+/* The other entries' share of a reported number, decreasing to zero with the
+ * report's age. */
 static uint64_t
-others(uint64_t reported, uint64_t own, uint64_t at_us, uint64_t now_us)
+others_share(uint64_t reported, uint64_t own, uint64_t at_us, uint64_t now_us)
 {
     uint64_t age = now_us - at_us;
 
@@ -607,95 +618,101 @@
                            uint64_t now_us)
 {
     return upstream->inflight +
-           (uint32_t)others(upstream->load.running + upstream->load.waiting,
-                            upstream->load_own, upstream->load_at_us, now_us);
+           (uint32_t)others_share(upstream->load.running +
+                                      upstream->load.waiting,
+                                  upstream->own_inflight_at_report,
+                                  upstream->load_reported_at_us, now_us);
 }
 
 uint64_t
 pgw_upstream_kv_estimate(const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    return upstream->inflight_tokens + others(upstream->load.kv_used,
-                                              upstream->load_own_tokens,
-                                              upstream->memory_at_us, now_us);
+    return upstream->inflight_tokens +
+           others_share(upstream->load.kv_used, upstream->own_tokens_at_report,
+                        upstream->kv_reported_at_us, now_us);
 }
 
-/* What a report said of others, fading with its age: they are read by then. */
+/* The other entries' share of reported prefills, decreasing to zero with the
+ * report's age as these prefills end. */
 static double
-fading(uint64_t reported, uint64_t own, const struct pgw_upstream *upstream,
-       uint64_t now_us)
+others_prefills(uint64_t reported, uint64_t own,
+                const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t age = now_us - upstream->memory_at_us;
+    uint64_t age = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->memory_at_us == 0 || age >= LONG_FADE_US ||
+    if (upstream->kv_reported_at_us == 0 || age >= LONG_PREFILL_FADE_US ||
         reported <= own) {
         return 0;
     }
-    return (double)(reported - own) * (double)(LONG_FADE_US - age) /
-           LONG_FADE_US;
+    return (double)(reported - own) * (double)(LONG_PREFILL_FADE_US - age) /
+           LONG_PREFILL_FADE_US;
 }
 
 double
-pgw_upstream_unread(const struct pgw_upstream *upstream, double read_rate,
-                    uint64_t now_us)
+pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
+                                   double prefill_rate, uint64_t now_us)
 {
     uint64_t reported = upstream->load.unread;
-    uint64_t own = upstream->load_own_unread;
-    uint64_t age = now_us - upstream->memory_at_us;
+    uint64_t own = upstream->own_prefill_tokens_at_report;
+    uint64_t age = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->memory_at_us == 0 || age >= UNREAD_MAX_US ||
+    if (upstream->kv_reported_at_us == 0 || age >= PENDING_MAX_AGE_US ||
         reported <= own) {
         return 0;
     }
-    return MAX((double)(reported - own) - (double)age / 1000 * read_rate, 0);
+    return MAX((double)(reported - own) - (double)age / 1000 * prefill_rate,
+               0);
 }
 
 double
-pgw_upstream_long_prefills(const struct pgw_upstream *upstream,
-                           uint64_t now_us)
+pgw_upstream_others_long_prefills(const struct pgw_upstream *upstream,
+                                  uint64_t now_us)
 {
-    return fading(upstream->load.long_prefills, upstream->load_own_long,
-                  upstream, now_us);
+    return others_prefills(upstream->load.long_prefills,
+                           upstream->own_long_prefills_at_report, upstream,
+                           now_us);
 }
 
 static void
-avoid(struct pgw_upstream *upstream, uint64_t us, uint64_t now_us)
+extend_avoidance(struct pgw_upstream *upstream, uint64_t us, uint64_t now_us)
 {
     upstream->avoid_until_us = MAX(upstream->avoid_until_us, now_us + us);
 }
 
 static void
-note_refusal(struct pgw_upstream *upstream, uint64_t now_us)
+record_refusal(struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t pause = FULL_BASE_US
-                     << MIN(upstream->refusals, FULL_DOUBLINGS_MAX);
+    uint64_t pause = FULL_BACKOFF_BASE_US
+                     << MIN(upstream->refusals, FULL_BACKOFF_DOUBLINGS_MAX);
 
     upstream->refusals++;
     upstream->full_until_us = MAX(upstream->full_until_us, now_us + pause);
 }
 
 void
-pgw_upstream_note(struct pgw_upstream *upstream,
-                  enum pgw_attempt_result result, uint64_t now_us)
+pgw_upstream_record_attempt(struct pgw_upstream *upstream,
+                            enum pgw_attempt_result result, uint64_t now_us)
 {
-    uint64_t pause = AVOID_BASE_US;
+    uint64_t pause = AVOID_BACKOFF_BASE_US;
 
     if (result == PGW_RESULT_REFUSED) {
-        note_refusal(upstream, now_us);
+        record_refusal(upstream, now_us);
         return;
     }
     upstream->refusals = 0;
-    upstream->failure_rate *= 1.0 - RATE_WEIGHT;
-    if (result == PGW_RESULT_GOOD) {
+    upstream->failure_rate *= 1.0 - FAILURE_RATE_WEIGHT;
+    if (result == PGW_RESULT_COMPLETED) {
         upstream->failures = 0;
         return;
     }
-    upstream->failure_rate += RATE_WEIGHT;
+    upstream->failure_rate += FAILURE_RATE_WEIGHT;
     upstream->failures++;
     if (result == PGW_RESULT_ERROR) {
         return;
     }
-    for (uint32_t i = 1; i < upstream->failures && pause < AVOID_MAX_US; i++) {
+    for (uint32_t i = 1;
+         i < upstream->failures && pause < AVOID_BACKOFF_MAX_US; i++) {
         pause *= 2;
     }
-    avoid(upstream, MIN(pause, AVOID_MAX_US), now_us);
+    extend_avoidance(upstream, MIN(pause, AVOID_BACKOFF_MAX_US), now_us);
 }
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -9,21 +9,22 @@
 #include <stdint.h>
 
 /**
- * DOC: What an entry knows of the upstreams
+ * DOC: The upstreams known to an entry
  *
- * Who exists and who leaves comes from the platform's list, load and weights
- * from the sidecars and from answers, health from the entry's own attempts.
+ * The platform's list says which upstreams exist and which are draining.
+ * Sidecars and answers report load and weights. Health comes from the entry's
+ * own attempts.
  */
 
 #define PGW_UPSTREAM_MODELS_MAX 4
-/* A prompt of which more tokens than this must be read is long: it holds up
- * the others of its engine for more than an answer's objective leaves. */
-#define PGW_LONG_PREFILL 1500
+/* A prompt with more pending tokens than this is long: its prefill delays the
+ * other requests of the engine beyond their latency objective. */
+#define PGW_LONG_PREFILL_TOKENS 1500
 
 /**
  * struct pgw_model_version - weights that an engine runs
  * @model: name of the model; owned
- * @version: number of its weights
+ * @version: version of the weights
  */
 struct pgw_model_version {
     char *model;
@@ -32,18 +33,18 @@
 
 /**
  * struct pgw_upstream_facts - one line of the platform's list
- * @id: its name in the list; mostly new at each of its starts
- * @service: what it serves
+ * @id: name in the list; usually a new one at each process start
+ * @service: service that the upstream belongs to
  * @address: "IP:PORT"
- * @zone: its availability zone
- * @slots: requests that it runs at once
- * @revision: of this line in the list
- * @started_ms: when its process started, by its own clock, in Unix
- *   milliseconds; tells apart starts under one id. 0: not said
- * @leaving: it finishes what it has and goes
- * @cold_ms: how much longer it stays slow after its start
- * @models: weights, for engines
- * @model_count: number of @models
+ * @zone: availability zone
+ * @slots: number of requests that the upstream runs concurrently
+ * @revision: revision of this line in the list
+ * @started_ms: start time of the process by its own clock, in Unix
+ *   milliseconds; distinguishes processes with the same id. 0: unknown
+ * @leaving: the upstream is draining and will stop
+ * @warmup_ms: remaining time for which the upstream is slow after its start
+ * @models: models and weights of an engine
+ * @model_count: number of @models; 0 for a plain service
  */
 struct pgw_upstream_facts {
     const char *id;
@@ -54,20 +55,20 @@
     uint64_t revision;
     uint64_t started_ms;
     bool leaving;
-    uint32_t cold_ms;
+    uint32_t warmup_ms;
     struct pgw_model_version models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
 };
 
 /**
- * struct pgw_upstream_load - a report of an upstream's load
- * @running: requests that it runs
- * @waiting: requests in its queue
- * @slots: requests that it runs at once, 0: not said
- * @long_prefills: long prompts that it is reading, or has still to read
- * @unread: tokens of these that it has not read, where they were announced
- * @kv_used: tokens of memory that cannot be freed
- * @kv_total: tokens of memory, 0: not said
+ * struct pgw_upstream_load - reported load of an upstream
+ * @running: number of running requests
+ * @waiting: number of queued requests
+ * @slots: number of requests that it runs concurrently, 0: unknown
+ * @long_prefills: long prompts whose prefill is running or pending
+ * @unread: pending tokens of these prompts, as far as they were announced
+ * @kv_used: KV cache tokens that cannot be evicted
+ * @kv_total: size of the KV cache in tokens, 0: unknown
  */
 struct pgw_upstream_load {
     uint32_t running;
@@ -79,51 +80,69 @@
     uint64_t kv_total;
 };
 
-/* Starts under one id that are told apart from the present one. */
+/* Former processes with the same id whose late messages are recognized. */
 #define PGW_UPSTREAM_STARTS_MAX 4
 
 /**
  * struct pgw_upstream - one upstream
- * @references: held by the table and by each request on its way
- * @revision: of its line in the list
- * @started_ms: start of the process that all below is known of, 0: not said
- * @earlier_ms: starts before it, of which late words may come
- * @earlier_count: number of @earlier_ms
+ * @in_table: link in the table's list
+ * @references: held by the table and by each request in flight
+ * @id: name in the platform's list
+ * @service: service that the upstream belongs to
+ * @zone: availability zone
+ * @address_text: @address as in the list
+ * @address: address that requests are sent to
+ * @id_hash: hash of @address_text, for rendezvous hashing
+ * @same_zone: it is in the entry's own availability zone
+ * @slots: number of requests that it runs concurrently
+ * @revision: revision of its line in the list
+ * @started_ms: start time of the process that the state below belongs to, 0:
+ *   unknown
+ * @earlier_starts_ms: start times of former processes, whose messages may
+ *   still arrive
+ * @earlier_start_count: number of @earlier_starts_ms
+ * @leaving: the upstream is draining
  * @displaced: another incarnation answered at its address
- * @ended_at_us: when another process was first known to have taken the place
- *   of one that ran here; what was sent before has nobody to answer it, 0:
- * never
- * @removed: no longer in the list
- * @delisted_at_us: when it was dropped from the list
- * @delisted_until_us: dropped from the list while the platform's store was
- * away; counts as there until then, 0: is in the list
- * @loading: its sidecar says that it changes its weights, or is not alive
- * @loads_since_us: since when it is away for a load, 0: it is not
- * @loads_next: it is among the next ones: what runs long there delays it
- * @guarded: its sidecar's word is fresh, so @models is
- * @last_seen_us: when a byte last came from it or its sidecar, 0: no sidecar
+ * @replaced_at_us: when the entry learned that a new process replaced the one
+ *   running here; requests sent before get no answer. 0: never
+ * @removed: no longer in the table
+ * @delisted_at_us: when its line vanished from the list
+ * @delisted_until_us: end of the grace period in which a delisted upstream
+ *   stays usable, 0: it is listed
+ * @warmup_until_us: end of the time for which it is slow after its start
+ * @models: models and weights of an engine
+ * @model_count: number of @models
+ * @loading: its sidecar reports that the engine is loading weights or is not
+ *   alive
+ * @loading_since_us: when the weight load began, 0: none is running
+ * @is_next_to_load: the engine loads new weights next; a long request there
+ *   would delay the load
+ * @loading_until_us: when the report behind @loading expires
+ * @sidecar_is_reporting: reports of its sidecar are current, and so are
+ *   @models
+ * @last_seen_us: when the last byte came from it or its sidecar, 0: no sidecar
  *   reports on it
- * @probe_at_us: while it is silent, no request is sent there before
- * @suspect_logged: that it does not respond stands in the log
- * @inflight: requests that this entry has there
- * @inflight_tokens: memory that they take at most
- * @prefill_tokens: prompt tokens of those without a first event
- * @long_prefills: how many of these are long
+ * @probe_at_us: while the upstream is unresponsive, no request is sent before
+ * @suspect_logged: the log says that it does not respond
+ * @inflight: requests of this entry in flight
+ * @inflight_tokens: upper bound of the KV cache tokens that they use
+ * @prefill_tokens: prompt tokens of those that wait for their first event
+ * @long_prefills: number of long prompts among these
  * @load: last report
- * @load_at_us: when it came, 0: never
- * @memory_at_us: when it last said what memory is in use, 0: never
- * @load_own: @inflight at that time
- * @load_own_tokens: @inflight_tokens at that time
- * @load_own_long: @long_prefills at that time
- * @load_own_unread: @prefill_tokens at that time
- * @failures: in a row
- * @failure_rate: moving share of failed attempts, 0..1
- * @avoid_until_us: not to be chosen before, while others can be
- * @refusals: in a row, of requests that it did not run
- * @full_until_us: not to be chosen before, whatever the others do
- * @held: prompt parts that its engine holds, by its sidecar's word: key to
- *   tokens; only while @guarded
- * @expected: prompt parts of requests that this entry sent there lately
+ * @load_reported_at_us: when it came, 0: never
+ * @kv_reported_at_us: when KV cache usage was last reported, 0: never
+ * @own_inflight_at_report: @inflight at @load_reported_at_us
+ * @own_tokens_at_report: @inflight_tokens at @kv_reported_at_us
+ * @own_long_prefills_at_report: @long_prefills at @kv_reported_at_us
+ * @own_prefill_tokens_at_report: @prefill_tokens at @kv_reported_at_us
+ * @failures: consecutive failures
+ * @failure_rate: exponential moving average of failed attempts, 0..1
+ * @avoid_until_us: chosen before this time only if no other upstream can be
+ * @refusals: consecutive requests that the upstream refused to run
+ * @full_until_us: never chosen before this time
+ * @cached_parts: parts in the engine's KV cache as its sidecar reports them:
+ *   key to tokens; only while @sidecar_is_reporting
+ * @expected: parts of requests that this entry sent there recently
  */
 struct pgw_upstream {
     struct pgw_list in_table;
@@ -138,22 +157,22 @@
     uint32_t slots;
     uint64_t revision;
     uint64_t started_ms;
-    uint64_t earlier_ms[PGW_UPSTREAM_STARTS_MAX];
-    size_t earlier_count;
+    uint64_t earlier_starts_ms[PGW_UPSTREAM_STARTS_MAX];
+    size_t earlier_start_count;
     bool leaving;
     bool displaced;
-    uint64_t ended_at_us;
+    uint64_t replaced_at_us;
     bool removed;
     uint64_t delisted_at_us;
     uint64_t delisted_until_us;
-    uint64_t cold_until_us;
+    uint64_t warmup_until_us;
     struct pgw_model_version models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
     bool loading;
-    uint64_t loads_since_us;
-    bool loads_next;
+    uint64_t loading_since_us;
+    bool is_next_to_load;
     uint64_t loading_until_us;
-    bool guarded;
+    bool sidecar_is_reporting;
     uint64_t last_seen_us;
     uint64_t probe_at_us;
     bool suspect_logged;
@@ -162,32 +181,32 @@
     uint64_t prefill_tokens;
     uint32_t long_prefills;
     struct pgw_upstream_load load;
-    uint64_t load_at_us;
-    uint64_t memory_at_us;
-    uint32_t load_own;
-    uint64_t load_own_tokens;
-    uint32_t load_own_long;
-    uint64_t load_own_unread;
+    uint64_t load_reported_at_us;
+    uint64_t kv_reported_at_us;
+    uint32_t own_inflight_at_report;
+    uint64_t own_tokens_at_report;
+    uint32_t own_long_prefills_at_report;
+    uint64_t own_prefill_tokens_at_report;
     uint32_t failures;
     double failure_rate;
     uint64_t avoid_until_us;
     uint32_t refusals;
     uint64_t full_until_us;
-    GHashTable *held;
+    GHashTable *cached_parts;
     struct pgw_recent_parts expected;
 };
 
 /**
- * enum pgw_attempt_result - how an attempt at an upstream went, for its health
- * @PGW_RESULT_GOOD: a whole answer
- * @PGW_RESULT_REFUSED: it said that it did not run the request
- * @PGW_RESULT_ERROR: it answered with a failure of its own
- * @PGW_RESULT_BROKEN: the connection broke or what came is no answer
+ * enum pgw_attempt_result - outcome of an attempt, for the upstream's health
+ * @PGW_RESULT_COMPLETED: the answer is complete
+ * @PGW_RESULT_REFUSED: the upstream said that it did not run the request
+ * @PGW_RESULT_ERROR: the upstream answered with an error of its own
+ * @PGW_RESULT_BROKEN: the connection broke or the answer is malformed
  * @PGW_RESULT_UNREACHABLE: no connection was established
- * @PGW_RESULT_TIMEOUT: nothing came for so long that it was given up
+ * @PGW_RESULT_TIMEOUT: the upstream sent nothing until the timeout
  */
 enum pgw_attempt_result {
-    PGW_RESULT_GOOD,
+    PGW_RESULT_COMPLETED,
     PGW_RESULT_REFUSED,
     PGW_RESULT_ERROR,
     PGW_RESULT_BROKEN,
@@ -197,33 +216,34 @@
 
 /**
  * struct pgw_upstream_pool - the upstreams of one service
- * @all: of &struct pgw_upstream
- * @near: those of the entry's own availability zone
- * @engines: they are engines, whose sidecars report on them
- * @divided: reports of those in other zones are not sent unasked
+ * @all: all of them, &struct pgw_upstream
+ * @local: those in the local zone
+ * @engines: the upstreams are engines, which have sidecars that report on them
+ * @remote_on_request: sidecars in remote zones report only in answer to a
+ *   probe
  */
 struct pgw_upstream_pool {
     GPtrArray *all;
-    GPtrArray *near;
+    GPtrArray *local;
     bool engines;
-    bool divided;
+    bool remote_on_request;
 };
 
 struct pgw_upstream_table;
 
 /**
- * pgw_upstream_table_new() - an empty table
+ * pgw_upstream_table_new() - create an empty table
  * @zone: the entry's own availability zone
  */
 struct pgw_upstream_table *pgw_upstream_table_new(const char *zone);
 void pgw_upstream_table_free(struct pgw_upstream_table *table);
 
 /**
- * pgw_upstream_table_on_lost() - be told of upstreams that are gone without
- * having said that they leave
+ * pgw_upstream_table_on_lost() - set the callback for upstreams that end
+ * without having announced a drain
  * @table: the table
- * @on_lost: called before the upstream is removed
- * @context: handed to @on_lost
+ * @on_lost: called before the upstream is removed or its state is reset
+ * @context: passed to @on_lost
  */
 void pgw_upstream_table_on_lost(struct pgw_upstream_table *table,
                                 void (*on_lost)(struct pgw_upstream *upstream,
@@ -231,32 +251,35 @@
                                 void *context);
 
 /**
- * pgw_upstream_table_put() - take a line of the platform's list
+ * pgw_upstream_table_put() - add or update an upstream from the platform's
+ * list
  * @table: the table
- * @facts: copied
+ * @facts: line of the list; copied
  *
- * Return: the upstream, or NULL when the address makes no sense or belongs to
- * a newer line.
+ * Return: the upstream, or NULL if the address is malformed or belongs to a
+ * newer line.
  */
 struct pgw_upstream *
 pgw_upstream_table_put(struct pgw_upstream_table *table,
                        const struct pgw_upstream_facts *facts);
 
 /**
- * pgw_upstream_table_started() - the word of the process beside an upstream on
- * when that one started
+ * pgw_upstream_table_set_start() - set when an upstream's process started, as
+ * its sidecar reports it
  * @table: the table
  * @upstream: one of its upstreams
- * @started_ms: as in &struct pgw_upstream_facts; 0: not said
+ * @started_ms: as in &struct pgw_upstream_facts; 0: unknown, nothing changes
  *
- * That process asks its upstream itself, one question after the other, so its
- * word holds whatever the list or a clock that was set back says.
+ * A new start time resets what is known of the upstream. The sidecar queries
+ * its upstream itself, one query at a time. So its report overrides the list,
+ * and also holds if the upstream's clock was set back.
  */
-void pgw_upstream_table_started(struct pgw_upstream_table *table,
-                                struct pgw_upstream *upstream,
-                                uint64_t started_ms);
+void pgw_upstream_table_set_start(struct pgw_upstream_table *table,
+                                  struct pgw_upstream *upstream,
+                                  uint64_t started_ms);
 
-/** pgw_upstream_table_remove() - it is no longer in the list */
+/** pgw_upstream_table_remove() - remove an upstream that is no longer listed
+ */
 void pgw_upstream_table_remove(struct pgw_upstream_table *table,
                                struct pgw_upstream *upstream);
 
@@ -264,47 +287,50 @@
 pgw_upstream_table_find(const struct pgw_upstream_table *table,
                         const char *id);
 
-/** pgw_upstream_table_pool() - upstreams of a service; NULL when there never
- * was one */
+/** pgw_upstream_table_pool() - upstreams of a service; NULL if there never was
+ * one */
 const struct pgw_upstream_pool *
 pgw_upstream_table_pool(const struct pgw_upstream_table *table,
                         const char *service);
 
-/** pgw_upstream_table_set_divided() - whether engines of other zones report
- * only when they are asked */
-void pgw_upstream_table_set_divided(struct pgw_upstream_table *table,
-                                    bool divided);
+/** pgw_upstream_table_set_remote_on_request() - set whether sidecars in remote
+ * zones report only in answer to a probe */
+void pgw_upstream_table_set_remote_on_request(struct pgw_upstream_table *table,
+                                              bool remote_on_request);
 
-/** pgw_upstream_table_at() - the newest upstream of an address; NULL: none */
+/** pgw_upstream_table_find_address() - the upstream that an address belongs
+ * to; NULL: none */
 struct pgw_upstream *
-pgw_upstream_table_at(const struct pgw_upstream_table *table,
-                      const char *address);
+pgw_upstream_table_find_address(const struct pgw_upstream_table *table,
+                                const char *address);
 
-/** pgw_upstream_table_all() - head of the list of all */
+/** pgw_upstream_table_all() - head of the list of all upstreams */
 struct pgw_list *pgw_upstream_table_all(struct pgw_upstream_table *table);
 
 struct pgw_upstream *pgw_upstream_ref(struct pgw_upstream *upstream);
 void pgw_upstream_unref(struct pgw_upstream *upstream);
 
-/** pgw_upstream_is_usable() - listed and neither leaving nor loading */
+/** pgw_upstream_is_usable() - listed, or delisted within its grace period, and
+ * neither leaving, displaced nor loading weights */
 bool pgw_upstream_is_usable(const struct pgw_upstream *upstream,
                             uint64_t now_us);
 
 /**
- * pgw_upstream_set_loading() - its sidecar's word on whether it takes requests
+ * pgw_upstream_set_loading() - set whether the engine takes requests, as its
+ * sidecar reports it
  * @upstream: the upstream
- * @loading: it loads weights, or does not answer
- * @until_us: when that word is no longer believed
+ * @loading: the engine is loading weights, or does not answer its sidecar
+ * @until_us: when the report expires
  */
 void pgw_upstream_set_loading(struct pgw_upstream *upstream, bool loading,
                               uint64_t until_us);
 
 /**
  * enum pgw_liveness - whether an upstream's machine responds
- * @PGW_RESPONSIVE: it was seen lately, or no sidecar reports on it
- * @PGW_SUSPECT: nothing came from it for long enough that it, or the network,
- *   may have stopped: used only if nothing else can be
- * @PGW_UNRESPONSIVE: it has stopped: one request a second probes it
+ * @PGW_RESPONSIVE: seen recently, or no sidecar reports on it
+ * @PGW_SUSPECT: not seen for long enough that the machine or the network may
+ *   have failed; used only if no other upstream can be
+ * @PGW_UNRESPONSIVE: considered down; probed by one request a second
  */
 enum pgw_liveness {
     PGW_RESPONSIVE,
@@ -312,80 +338,90 @@
     PGW_UNRESPONSIVE,
 };
 
-/** pgw_upstream_note_seen() - a report of its sidecar came */
-void pgw_upstream_note_seen(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_mark_seen() - record that a report of its sidecar came */
+void pgw_upstream_mark_seen(struct pgw_upstream *upstream, uint64_t now_us);
 
-/** pgw_upstream_note_answer() - some byte of an answer came from it */
-void pgw_upstream_note_answer(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_mark_answering() - record that a byte of an answer came; no
+ * effect if no sidecar reports on the upstream */
+void pgw_upstream_mark_answering(struct pgw_upstream *upstream,
+                                 uint64_t now_us);
 
-/** pgw_upstream_unseen_us() - for how long nothing came from its machine, in
- * microseconds; 0: no sidecar reports on it */
-uint64_t pgw_upstream_unseen_us(const struct pgw_upstream *upstream,
-                                uint64_t now_us);
+/** pgw_upstream_since_seen_us() - microseconds since the upstream or its
+ * sidecar was last seen; 0: no sidecar reports on it */
+uint64_t pgw_upstream_since_seen_us(const struct pgw_upstream *upstream,
+                                    uint64_t now_us);
 
 /** pgw_upstream_liveness() - whether its machine responds */
 enum pgw_liveness pgw_upstream_liveness(const struct pgw_upstream *upstream,
                                         uint64_t now_us);
 
-/** pgw_upstream_probe() - a request is sent there: while it is silent, the
- * next one has to wait */
-void pgw_upstream_probe(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_schedule_probe() - record that a request is sent; if the
+ * upstream is unresponsive, the next one has to wait for the probe interval */
+void pgw_upstream_schedule_probe(struct pgw_upstream *upstream,
+                                 uint64_t now_us);
 
-/** pgw_upstream_set_version() - newest word on the weights of a model */
+/** pgw_upstream_set_version() - set the weights of a model; lower versions
+ * than the known one are ignored */
 void pgw_upstream_set_version(struct pgw_upstream *upstream, const char *model,
                               uint64_t version);
 
-/** pgw_upstream_version() - weights of a model, 0: not known */
+/** pgw_upstream_version() - version of a model's weights, 0: unknown */
 uint64_t pgw_upstream_version(const struct pgw_upstream *upstream,
                               const char *model);
 
-/** pgw_upstream_hold() - its sidecar's word on a part; 0 tokens: gone */
-void pgw_upstream_hold(struct pgw_upstream *upstream, uint64_t key,
-                       uint32_t tokens);
+/** pgw_upstream_set_cached_part() - set how many tokens of a part are cached,
+ * as its sidecar reports it; 0: evicted */
+void pgw_upstream_set_cached_part(struct pgw_upstream *upstream, uint64_t key,
+                                  uint32_t tokens);
 
-/** pgw_upstream_forget_parts() - nothing is known of what it holds */
-void pgw_upstream_forget_parts(struct pgw_upstream *upstream);
+/** pgw_upstream_clear_parts() - drop all cached and expected parts */
+void pgw_upstream_clear_parts(struct pgw_upstream *upstream);
 
 /**
- * pgw_upstream_holds() - whether a part is in its engine's memory
+ * pgw_upstream_has_part() - whether a part is in the engine's KV cache
  * @upstream: the upstream
  * @key: pgw_part_key()
  * @tokens: size of the part
- * @expected: also count what is being read for a request on its way
+ * @expected: also count expected parts, of requests in flight to the engine
  * @now_us: monotonic time
  */
-bool pgw_upstream_holds(const struct pgw_upstream *upstream, uint64_t key,
-                        uint32_t tokens, bool expected, uint64_t now_us);
+bool pgw_upstream_has_part(const struct pgw_upstream *upstream, uint64_t key,
+                           uint32_t tokens, bool expected, uint64_t now_us);
 
-/** pgw_upstream_take_load() - a report of its load, received at @now_us */
-void pgw_upstream_take_load(struct pgw_upstream *upstream,
-                            const struct pgw_upstream_load *load,
-                            uint64_t now_us);
+/** pgw_upstream_update_load() - store a load report received at @now_us */
+void pgw_upstream_update_load(struct pgw_upstream *upstream,
+                              const struct pgw_upstream_load *load,
+                              uint64_t now_us);
 
-/** pgw_upstream_load_estimate() - requests there now, of all entries */
+/** pgw_upstream_load_estimate() - estimated number of requests there now, of
+ * all entries */
 uint32_t pgw_upstream_load_estimate(const struct pgw_upstream *upstream,
                                     uint64_t now_us);
 
-/** pgw_upstream_kv_estimate() - tokens of memory in use now */
+/** pgw_upstream_kv_estimate() - estimated KV cache tokens in use now */
 uint64_t pgw_upstream_kv_estimate(const struct pgw_upstream *upstream,
                                   uint64_t now_us);
 
-/** pgw_upstream_long_prefills() - long prompts that it reads for others */
-double pgw_upstream_long_prefills(const struct pgw_upstream *upstream,
-                                  uint64_t now_us);
+/** pgw_upstream_others_long_prefills() - estimated number of long prompts of
+ * other entries that are not prefilled yet */
+double pgw_upstream_others_long_prefills(const struct pgw_upstream *upstream,
+                                         uint64_t now_us);
 
 /**
- * pgw_upstream_unread() - prompt tokens that it has to read for others, as far
- * as they were announced
+ * pgw_upstream_others_pending_tokens() - estimated pending prompt tokens of
+ * other entries, as far as they were announced
  * @upstream: the engine
- * @read_rate: tokens that an engine reads in a millisecond
+ * @prefill_rate: tokens that an engine prefills in a millisecond
  * @now_us: monotonic time
  */
-double pgw_upstream_unread(const struct pgw_upstream *upstream,
-                           double read_rate, uint64_t now_us);
-
-/** pgw_upstream_note()  - account the end of an attempt */
-void pgw_upstream_note(struct pgw_upstream *upstream,
-                       enum pgw_attempt_result result, uint64_t now_us);
+double pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
+                                          double prefill_rate,
+                                          uint64_t now_us);
+
+/** pgw_upstream_record_attempt() - update the upstream's health with the
+ * result of an attempt */
+void pgw_upstream_record_attempt(struct pgw_upstream *upstream,
+                                 enum pgw_attempt_result result,
+                                 uint64_t now_us);
 
 #endif
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -266,7 +266,7 @@
     /* One place means one request at a time. */
     options.choose.plain_depth = 1.0;
     /* Nothing is waited for, so crashes follow each other closely. */
-    options.poison.apart_us = 0;
+    options.poison.min_crash_gap_us = 0;
     scene->loop = pgw_loop_new(NULL);
     scene->gateway = pgw_gateway_new(scene->loop, &options, NULL);
     g_assert_nonnull(scene->gateway);
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -376,7 +376,7 @@
 {
     pgw_list_foreach (
         link, pgw_upstream_table_all(pgw_gateway_upstreams(scene->gateway))) {
-        pgw_upstream_note_seen(
+        pgw_upstream_mark_seen(
             pgw_container_of(link, struct pgw_upstream, in_table),
             pgw_now_us() - 1500000);
     }
--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -162,10 +162,11 @@
     struct pgw_upstream_load load = {.slots = 8, .kv_total = 140000};
 
     for (unsigned i = 0; i < sidecars.asked; i++) {
-        pgw_upstream_take_load(engine(scene, sidecars.homes[i]), &load,
-                               pgw_now_us());
+        pgw_upstream_update_load(engine(scene, sidecars.homes[i]), &load,
+                                 pgw_now_us());
     }
-    pgw_upstream_hold(engine(scene, sidecars.homes[1]), part_key(), 13000);
+    pgw_upstream_set_cached_part(engine(scene, sidecars.homes[1]), part_key(),
+                                 13000);
     for (unsigned i = 0; i < sidecars.asked; i++) {
         pgw_gateway_probe_answered(scene->gateway, sidecars.last,
                                    engine(scene, sidecars.homes[i]));
--- a/tests/unit/test_silence.c
+++ b/tests/unit/test_silence.c
@@ -1,32 +1,35 @@
 #include "gateway/response_timeout.h"
 #include <glib.h>
 
-/* Tokens that an engine reads in a millisecond, alone. */
-#define ENGINE_TOKENS_PER_MS 50
+/* Tokens that an otherwise idle engine prefills in a millisecond. */
+#define ENGINE_PREFILL_TOKENS_PER_MS 50
 
 /*
- * Eight prompts of 17,000 tokens come to one engine together, which reads them
- * all side by side. The caller of the last one waits for all eight: giving the
- * engine up before would throw eight reads away and load the next one as much.
+ * Eight prompts of 17,000 tokens reach one engine together, which prefills
+ * them concurrently. The last one takes as long as all eight. An earlier
+ * timeout would waste eight prefills and move the same load to the next
+ * engine.
  */
 static void
-test_full_engine_may_end(void)
+test_full_engine_may_finish(void)
 {
-    uint64_t all_us = UINT64_C(8) * 17000 * 1000 / ENGINE_TOKENS_PER_MS;
+    uint64_t all_prefills_us =
+        UINT64_C(8) * 17000 * 1000 / ENGINE_PREFILL_TOKENS_PER_MS;
 
-    g_assert_cmpuint(pgw_response_timeout_us(800000, 0.7, 17000), >, all_us);
+    g_assert_cmpuint(pgw_response_timeout_us(800000, 0.7, 17000), >,
+                     all_prefills_us);
 }
 
-/* An engine that hangs is given up within seconds all the same. */
+/* A hanging engine still times out within seconds. */
 static void
-test_hanging_engine_is_given_up(void)
+test_hanging_engine_times_out(void)
 {
     g_assert_cmpuint(pgw_response_timeout_us(300000, 0.7, 400), <, 500000);
     g_assert_cmpuint(pgw_response_timeout_us(800000, 0.7, 17000), <, 5000000);
 }
 
 static void
-test_plain_call(void)
+test_plain_service(void)
 {
     g_assert_cmpuint(pgw_response_timeout_us(300000, 0.5, 0), ==, 150000);
 }
@@ -35,8 +38,10 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/silence/full", test_full_engine_may_end);
-    g_test_add_func("/silence/hanging", test_hanging_engine_is_given_up);
-    g_test_add_func("/silence/plain", test_plain_call);
+    g_test_add_func("/response_timeout/full_engine_may_finish",
+                    test_full_engine_may_finish);
+    g_test_add_func("/response_timeout/hanging_engine_times_out",
+                    test_hanging_engine_times_out);
+    g_test_add_func("/response_timeout/plain_service", test_plain_service);
     return g_test_run();
 }
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -18,9 +18,10 @@
     return pgw_upstream_table_put(table, &facts);
 }
 
-/* A late copy of the list says "ready" of one that is leaving. */
+/* An old copy of the list arrives late and shows a draining upstream as ready.
+ */
 static void
-test_leaving_is_sticky(void)
+test_leaving_is_permanent(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", true);
@@ -31,8 +32,8 @@
 }
 
 /*
- * An upstream crashes and is back at its address under a new id; the line of
- * the old one has not lapsed yet. Requests go to the new one alone, in
+ * An upstream crashes and restarts at its address with a new id, before the
+ * line of the former process expires. Requests go only to the new upstream, in
  * whichever order the lines are read.
  */
 static void
@@ -56,7 +57,7 @@
 }
 
 static void
-test_bad_address_is_not_taken(void)
+test_malformed_address_is_rejected(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream_facts facts = {
@@ -68,7 +69,7 @@
 }
 
 static void
-test_removed_stays_for_its_requests(void)
+test_removed_upstream_is_kept_while_referenced(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = pgw_upstream_ref(put(table, "i", false));
@@ -81,17 +82,18 @@
     pgw_upstream_table_free(table);
 }
 
-/* 5 requests are reported, 2 of them ours; the 3 of others fade in a second,
- * our own are counted exactly. */
+/* A report counts 5 requests, 2 of them from this entry. The 3 of other
+ * entries decay to zero within a second; the entry's own are counted exactly.
+ */
 static void
-test_load_of_others_fades(void)
+test_load_of_other_entries_decays(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
     struct pgw_upstream_load load = {.running = 4, .waiting = 1};
 
     upstream->inflight = 2;
-    pgw_upstream_take_load(upstream, &load, NOW);
+    pgw_upstream_update_load(upstream, &load, NOW);
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 5);
     upstream->inflight = 1;
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 4);
@@ -101,45 +103,46 @@
 }
 
 static void
-test_pauses_grow_and_end(void)
+test_backoff_grows_to_its_limit(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
     uint64_t last = 0;
 
     for (unsigned i = 0; i < 8; i++) {
-        uint64_t pause;
+        uint64_t backoff;
 
         upstream->avoid_until_us = 0;
-        pgw_upstream_note(upstream, PGW_RESULT_UNREACHABLE, NOW);
-        pause = upstream->avoid_until_us - NOW;
-        g_assert_cmpuint(pause, >=, last);
-        g_assert_cmpuint(pause, <=, 2000000);
-        last = pause;
+        pgw_upstream_record_attempt(upstream, PGW_RESULT_UNREACHABLE, NOW);
+        backoff = upstream->avoid_until_us - NOW;
+        g_assert_cmpuint(backoff, >=, last);
+        g_assert_cmpuint(backoff, <=, 2000000);
+        last = backoff;
     }
-    pgw_upstream_note(upstream, PGW_RESULT_GOOD, NOW);
+    pgw_upstream_record_attempt(upstream, PGW_RESULT_COMPLETED, NOW);
     g_assert_cmpuint(upstream->failures, ==, 0);
     pgw_upstream_table_free(table);
 }
 
-/* Memory goes by blocks of 16 tokens: 96 of a part of 100 tokens are held. */
+/* The KV cache keeps whole blocks of 16 tokens: 96 tokens of a part of 100 are
+ * cached. */
 static void
-test_parts(void)
+test_cached_and_expected_parts(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
 
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, true, NOW));
-    pgw_upstream_hold(upstream, 5, 96);
-    g_assert_true(pgw_upstream_holds(upstream, 5, 100, false, NOW));
-    g_assert_false(pgw_upstream_holds(upstream, 5, 200, false, NOW));
-    pgw_upstream_hold(upstream, 5, 0);
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, false, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, true, NOW));
+    pgw_upstream_set_cached_part(upstream, 5, 96);
+    g_assert_true(pgw_upstream_has_part(upstream, 5, 100, false, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 200, false, NOW));
+    pgw_upstream_set_cached_part(upstream, 5, 0);
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, false, NOW));
     pgw_recent_parts_add(&upstream->expected, 6, NOW);
-    g_assert_true(pgw_upstream_holds(upstream, 6, 100, true, NOW + 1));
-    g_assert_false(pgw_upstream_holds(upstream, 6, 100, false, NOW + 1));
+    g_assert_true(pgw_upstream_has_part(upstream, 6, 100, true, NOW + 1));
+    g_assert_false(pgw_upstream_has_part(upstream, 6, 100, false, NOW + 1));
     pgw_upstream_set_version(upstream, "m", 2);
-    g_assert_false(pgw_upstream_holds(upstream, 6, 100, true, NOW + 1));
+    g_assert_false(pgw_upstream_has_part(upstream, 6, 100, true, NOW + 1));
     pgw_upstream_table_free(table);
 }
 
@@ -161,23 +164,24 @@
 }
 
 /*
- * An upstream that was leaving, had failed and held parts crashes and starts
- * again under its id. Requests go to it at once and expect nothing of its
- * former process; a line of that one, which comes late, changes nothing.
+ * An upstream that was draining, had failed and had cached parts crashes and
+ * restarts with the same id. It is usable at once, and no state of the former
+ * process remains. A line of the former process that arrives late changes
+ * nothing.
  */
 static void
-test_start_under_the_same_id(void)
+test_restart_with_the_same_id(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put_started(table, 1000, true);
     struct pgw_upstream_load load = {.running = 9, .kv_total = 100};
 
-    pgw_upstream_hold(upstream, 5, 96);
-    pgw_upstream_take_load(upstream, &load, NOW);
-    pgw_upstream_note(upstream, PGW_RESULT_UNREACHABLE, NOW);
+    pgw_upstream_set_cached_part(upstream, 5, 96);
+    pgw_upstream_update_load(upstream, &load, NOW);
+    pgw_upstream_record_attempt(upstream, PGW_RESULT_UNREACHABLE, NOW);
     g_assert_true(put_started(table, 2000, false) == upstream);
     g_assert_false(upstream->leaving);
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, true, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, true, NOW));
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 0);
     g_assert_cmpuint(upstream->avoid_until_us, ==, 0);
     put_started(table, 1000, true);
@@ -187,12 +191,12 @@
 }
 
 /*
- * The clock of its machine was set back before it started again: the list says
- * a lower time than before, and so does the process beside it. Both count, and
- * what that process says holds over a line that is behind.
+ * The machine's clock was set back before the upstream restarted, so the list
+ * and the sidecar report a lower start time than before. Either counts as a
+ * restart, and the sidecar's report overrides an older line of the list.
  */
 static void
-test_start_after_a_clock_step(void)
+test_restart_after_clock_was_set_back(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put_started(table, 9000, true);
@@ -200,7 +204,7 @@
     put_started(table, 4000, false);
     g_assert_cmpuint(upstream->started_ms, ==, 4000);
     g_assert_false(upstream->leaving);
-    pgw_upstream_table_started(table, upstream, 9000);
+    pgw_upstream_table_set_start(table, upstream, 9000);
     g_assert_cmpuint(upstream->started_ms, ==, 9000);
     put_started(table, 4000, true);
     g_assert_cmpuint(upstream->started_ms, ==, 9000);
@@ -208,10 +212,11 @@
     pgw_upstream_table_free(table);
 }
 
-/* Engines come into the list after their pool was divided: it must stay so, or
- * engines that do not report are weighed as idle. Plain pools are never. */
+/* An engine is listed after its pool was set to remote reports on request. The
+ * pool must keep the setting: otherwise engines that do not report count as
+ * idle. Pools of plain services never have it. */
 static void
-test_divided_pool_stays_divided(void)
+test_new_engine_keeps_remote_on_request(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream_facts facts = {
@@ -225,34 +230,40 @@
     };
 
     pgw_upstream_table_put(table, &facts);
-    pgw_upstream_table_set_divided(table, true);
+    pgw_upstream_table_set_remote_on_request(table, true);
     facts.id = "e2";
     facts.address = "127.0.0.1:2";
     pgw_upstream_table_put(table, &facts);
-    g_assert_true(pgw_upstream_table_pool(table, "engines")->divided);
+    g_assert_true(
+        pgw_upstream_table_pool(table, "engines")->remote_on_request);
     put(table, "p", false);
-    g_assert_false(pgw_upstream_table_pool(table, "s")->divided);
-    pgw_upstream_table_set_divided(table, false);
-    g_assert_false(pgw_upstream_table_pool(table, "engines")->divided);
+    g_assert_false(pgw_upstream_table_pool(table, "s")->remote_on_request);
+    pgw_upstream_table_set_remote_on_request(table, false);
+    g_assert_false(
+        pgw_upstream_table_pool(table, "engines")->remote_on_request);
     pgw_upstream_table_free(table);
 }
 
-/* Guards against an engine that looks idle long before it has read what it
- * was sent. */
+/* An engine must not look idle long before it has prefilled the prompts that
+ * were sent to it. */
 static void
-test_unread(void)
+test_pending_tokens_of_others(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
     struct pgw_upstream_load load = {
         .running = 1, .kv_total = 100000, .long_prefills = 1, .unread = 20000};
 
-    pgw_upstream_take_load(upstream, &load, NOW);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW), ==, 20000);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW + 450000), ==,
-                      2000);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW + 600000), ==, 0);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 1, NOW + 2000000), ==, 0);
+    pgw_upstream_update_load(upstream, &load, NOW);
+    g_assert_cmpfloat(pgw_upstream_others_pending_tokens(upstream, 40, NOW),
+                      ==, 20000);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 40, NOW + 450000), ==,
+        2000);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 40, NOW + 600000), ==, 0);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 1, NOW + 2000000), ==, 0);
     pgw_upstream_table_free(table);
 }
 
@@ -261,21 +272,27 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/upstream_table/leaving", test_leaving_is_sticky);
-    g_test_add_func("/upstream_table/address",
+    g_test_add_func("/upstream_table/leaving_is_permanent",
+                    test_leaving_is_permanent);
+    g_test_add_func("/upstream_table/address_belongs_to_newest_line",
                     test_address_belongs_to_the_newest);
-    g_test_add_func("/upstream_table/bad_address",
-                    test_bad_address_is_not_taken);
-    g_test_add_func("/upstream_table/removed",
-                    test_removed_stays_for_its_requests);
-    g_test_add_func("/upstream_table/load", test_load_of_others_fades);
-    g_test_add_func("/upstream_table/pauses", test_pauses_grow_and_end);
-    g_test_add_func("/upstream_table/parts", test_parts);
-    g_test_add_func("/upstream_table/same_id", test_start_under_the_same_id);
-    g_test_add_func("/upstream_table/clock_step",
-                    test_start_after_a_clock_step);
-    g_test_add_func("/upstream_table/unread", test_unread);
-    g_test_add_func("/upstream_table/divided",
-                    test_divided_pool_stays_divided);
+    g_test_add_func("/upstream_table/malformed_address_is_rejected",
+                    test_malformed_address_is_rejected);
+    g_test_add_func("/upstream_table/removed_is_kept_while_referenced",
+                    test_removed_upstream_is_kept_while_referenced);
+    g_test_add_func("/upstream_table/load_of_others_decays",
+                    test_load_of_other_entries_decays);
+    g_test_add_func("/upstream_table/backoff_grows_to_its_limit",
+                    test_backoff_grows_to_its_limit);
+    g_test_add_func("/upstream_table/cached_and_expected_parts",
+                    test_cached_and_expected_parts);
+    g_test_add_func("/upstream_table/restart_with_same_id",
+                    test_restart_with_the_same_id);
+    g_test_add_func("/upstream_table/restart_after_clock_set_back",
+                    test_restart_after_clock_was_set_back);
+    g_test_add_func("/upstream_table/pending_tokens_of_others",
+                    test_pending_tokens_of_others);
+    g_test_add_func("/upstream_table/new_engine_keeps_remote_on_request",
+                    test_new_engine_keeps_remote_on_request);
     return g_test_run();
 }
