--- a/src/gateway/lease.h
+++ b/src/gateway/lease.h
@@ -10,25 +10,27 @@
 /**
  * DOC: A lease in the platform's store
  *
- * One object names its holder; who wants it writes it under the condition that
- * it is as it was last read. The holder may act until a fixed time after it
- * *asked* for its last acknowledged write; others take over once the object
- * has stood still for that time and a pause more, by their own clocks. So no
- * two ever act within the pause, whatever is lost, late or paused.
+ * One object in the store names the holder. A process acquires or renews the
+ * lease with a conditional write, which fails if the object has changed since
+ * it was last read. The holder may act for a fixed term, counted from when it
+ * *sent* its last acknowledged write. Another process takes over once the
+ * object has not changed for the term and a pause, by its own clock. So the
+ * acts of two holders are always at least the pause apart, even if messages
+ * are lost or delayed or processes are paused.
  *
- * A pure machine: what is known goes in with the time, what to do next comes
- * out. The time must go on while the machine is suspended (CLOCK_BOOTTIME):
- * one that wakes must not believe that it still holds what others took over.
+ * A pure state machine: events and the time go in, the next step comes out.
+ * The time must include suspend (CLOCK_BOOTTIME): a process that resumes must
+ * not act under a lease that has expired meanwhile.
  */
 
 /**
  * struct pgw_lease_options - times
- * @term_us: how long a holder may act after it asked for a write
- * @pause_us: between the acts of one holder and those of the next; at least
- *   the deployment's bound on orders by turns
- * @renew_us: from one write to the next
- * @poll_us: between two looks at a lease that another one holds
- * @retry_us: after a call that failed
+ * @term_us: how long a holder may act after it sent a write
+ * @pause_us: shortest time between the acts of two holders; at least the
+ *   deployment's bound on the time between orders of different holders
+ * @renew_us: interval at which the holder renews the lease
+ * @poll_us: interval at which others read a lease that they don't hold
+ * @retry_us: delay after a failed call
  */
 struct pgw_lease_options {
     uint64_t term_us;
@@ -38,8 +40,9 @@
     uint64_t retry_us;
 };
 
-/* Two seconds bear a call of 1.7 s that is given up and one more. The pause is
- * the deployments' three seconds and a half more for what is on its way. */
+/* A term of two seconds survives a call that times out after 1.7 s and one
+ * more. The pause is the deployments' three seconds and half a second for
+ * messages in flight. */
 #define PGW_LEASE_OPTIONS_INIT                                                \
     {                                                                         \
         .term_us = 2000000, .pause_us = 3500000, .renew_us = 700000,          \
@@ -50,8 +53,9 @@
  * enum pgw_lease_step - what to do now
  * @PGW_LEASE_IDLE: nothing
  * @PGW_LEASE_READ: read the object
- * @PGW_LEASE_CREATE: make it, naming this holder
- * @PGW_LEASE_REPLACE: write it, if it still has @revision
+ * @PGW_LEASE_CREATE: create the object with this process as the holder
+ * @PGW_LEASE_REPLACE: write this process as the holder if the object still has
+ *   &pgw_lease.revision
  */
 enum pgw_lease_step {
     PGW_LEASE_IDLE,
@@ -61,11 +65,11 @@
 };
 
 /**
- * enum pgw_lease_result - how a call ended
- * @PGW_LEASE_DONE: it was done
- * @PGW_LEASE_ABSENT: there is no such object
- * @PGW_LEASE_CONFLICT: the condition did not hold
- * @PGW_LEASE_FAILED: no answer, or a refusal; a write may have been done
+ * enum pgw_lease_result - result of a call to the store
+ * @PGW_LEASE_DONE: the read or write succeeded
+ * @PGW_LEASE_ABSENT: the object does not exist
+ * @PGW_LEASE_CONFLICT: the condition of the write did not hold
+ * @PGW_LEASE_FAILED: no answer or an error; a write may have taken effect
  */
 enum pgw_lease_result {
     PGW_LEASE_DONE,
@@ -75,67 +79,68 @@
 };
 
 /**
- * struct pgw_lease - state of one process
- * @wanted: it has something to do under the lease
- * @known: the object was read, and nothing has failed since
- * @exists: there is one
- * @mine: it names this process
- * @revision: of the object
- * @seen_us: since when it has that revision
- * @writes: number of own writes; each names its own, so that it can be told
- *   apart
- * @asking: a call is on its way
- * @asked_us: since when
- * @until_us: this process may act until then
- * @next_us: no call before
+ * struct pgw_lease - lease state of one process
+ * @options: times
+ * @wanted: the process has something to do under the lease
+ * @state_known: the object was read, and every write since has succeeded
+ * @exists: the object exists
+ * @names_self: the object names this process as its holder
+ * @revision: revision of the object
+ * @revision_seen_us: when this process first saw that revision
+ * @write_count: number of writes of this process; each write carries its
+ *   number, which identifies it in a later read
+ * @call_in_flight: a call has not ended yet
+ * @write_sent_us: when the last write was sent
+ * @valid_until_us: end of the term in which this process may act
+ * @next_call_us: no call is made before this time
  */
 struct pgw_lease {
     struct pgw_lease_options options;
     bool wanted;
-    bool known;
+    bool state_known;
     bool exists;
-    bool mine;
+    bool names_self;
     uint64_t revision;
-    uint64_t seen_us;
-    uint64_t writes;
-    bool asking;
-    uint64_t asked_us;
-    uint64_t until_us;
-    uint64_t next_us;
+    uint64_t revision_seen_us;
+    uint64_t write_count;
+    bool call_in_flight;
+    uint64_t write_sent_us;
+    uint64_t valid_until_us;
+    uint64_t next_call_us;
 };
 
 void pgw_lease_init(struct pgw_lease *lease,
                     const struct pgw_lease_options *options);
 
-/** pgw_lease_set_wanted() - whether there is something to do under the lease
- */
+/** pgw_lease_set_wanted() - set whether the process has something to do under
+ * the lease */
 void pgw_lease_set_wanted(struct pgw_lease *lease, bool wanted);
 
-/** pgw_lease_step() - what to do now; a call that it names must be ended with
- * one of the functions below */
+/** pgw_lease_step() - return what to do now; the end of a returned call must
+ * be reported with pgw_lease_finish_read() or pgw_lease_finish_write() */
 enum pgw_lease_step pgw_lease_step(struct pgw_lease *lease, uint64_t now_us);
 
 /**
- * pgw_lease_finish_read() - the end of a read
+ * pgw_lease_finish_read() - report the result of a read
  * @lease: the state
  * @result: %PGW_LEASE_DONE, _ABSENT or _FAILED
- * @mine: it names this process
- * @writes: number that it names, where @mine
- * @revision: of the object
+ * @names_self: the object names this process as its holder
+ * @write_number: number of the write in the object, if @names_self
+ * @revision: revision of the object
  * @now_us: the time
  */
 void pgw_lease_finish_read(struct pgw_lease *lease,
-                           enum pgw_lease_result result, bool mine,
-                           uint64_t writes, uint64_t revision,
+                           enum pgw_lease_result result, bool names_self,
+                           uint64_t write_number, uint64_t revision,
                            uint64_t now_us);
 
-/** pgw_lease_finish_write() - the end of a write; @revision where it was done
- */
+/** pgw_lease_finish_write() - report the result of a write; @revision is the
+ * new one, used with %PGW_LEASE_DONE only */
 void pgw_lease_finish_write(struct pgw_lease *lease,
                             enum pgw_lease_result result, uint64_t revision,
                             uint64_t now_us);
 
-/** pgw_lease_holds() - this process may act */
+/** pgw_lease_holds() - whether this process holds the lease and may act */
 bool pgw_lease_holds(const struct pgw_lease *lease, uint64_t now_us);
 
 G_END_DECLS
--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -2,24 +2,27 @@
 #include "util/log.h"
 #include <string.h>
 
-/* How often engines are looked at, and the lease is renewed in time. */
-#define LOOK_US 250000
-/* Reports to other machines are some hundred milliseconds old. */
+/* Interval of the checks of all engines; short enough to renew the lease in
+ * time. */
+#define CHECK_INTERVAL_US 250000
+/* Reports from another machine are some hundred milliseconds old. */
 #define REPORT_LAG_US 1000000
 
 /**
- * struct ward - an engine that this process gives orders to
- * @id: its incarnation
- * @guard: what a sidecar would run
+ * struct managed_engine - an engine that this process gives orders to
+ * @id: incarnation of the engine
+ * @sidecar: sidecar for the engine that runs within this process
  */
-struct ward {
+struct managed_engine {
     char *id;
-    struct pgw_engine_sidecar *guard;
+    struct pgw_engine_sidecar *sidecar;
 };
 
 /*
- * @wards: id -> &struct ward
- * @token_asked: a fencing token is on its way, for all of them
+ * @managed_engines: id -> &struct managed_engine
+ * @token_requested: a fencing token for all managed engines was requested and
+ *   has not arrived
+ * @logged_holds: whether the process holds the lease, as last logged
  */
 struct pgw_sidecarless {
     struct pgw_loop *loop;
@@ -28,20 +31,20 @@
     struct pgw_sidecarless_options options;
     char *instance;
     struct pgw_lease lease;
-    GHashTable *wards;
+    GHashTable *managed_engines;
     struct pgw_timer timer;
-    bool token_asked;
-    bool held;
+    bool token_requested;
+    bool logged_holds;
 };
 
 static void
-ward_free(void *data)
+managed_engine_free(void *data)
 {
-    struct ward *ward = data;
+    struct managed_engine *engine = data;
 
-    pgw_engine_sidecar_free(ward->guard);
-    g_free(ward->id);
-    g_free(ward);
+    pgw_engine_sidecar_free(engine->sidecar);
+    g_free(engine->id);
+    g_free(engine);
 }
 
 static void
@@ -49,8 +52,8 @@
 {
     struct pgw_sidecarless *self = context;
 
-    if (!self->token_asked) {
-        self->token_asked = true;
+    if (!self->token_requested) {
+        self->token_requested = true;
         self->options.store->get_token(self->options.context);
     }
 }
@@ -64,21 +67,22 @@
 }
 
 static uint64_t
-wanted_version(const struct pgw_sidecarless *self,
+target_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
     return pgw_gateway_weights(self->gateway, upstream->models[model].model);
 }
 
-/* Whether some of its weights are known to be older than the named ones. */
+/* Whether the version of a model is known and older than the target version.
+ */
 static bool
-is_behind(const struct pgw_sidecarless *self,
-          const struct pgw_upstream *upstream)
+has_old_weights(const struct pgw_sidecarless *self,
+                const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < upstream->model_count; i++) {
         uint64_t version = upstream->models[i].version;
 
-        if (version > 0 && version < wanted_version(self, upstream, i)) {
+        if (version > 0 && version < target_version(self, upstream, i)) {
             return true;
         }
     }
@@ -91,13 +95,15 @@
 {
     return upstream->same_zone && !upstream->sidecar_is_reporting &&
            !upstream->leaving && !upstream->removed &&
-           upstream->delisted_until_us == 0 && is_behind(self, upstream) &&
+           upstream->delisted_until_us == 0 &&
+           has_old_weights(self, upstream) &&
            pgw_sidecar_links_is_refused(self->links, upstream,
                                         self->options.refused_us);
 }
 
-static struct ward *
-ward_new(struct pgw_sidecarless *self, const struct pgw_upstream *upstream)
+static struct managed_engine *
+managed_engine_new(struct pgw_sidecarless *self,
+                   const struct pgw_upstream *upstream)
 {
     struct pgw_engine_sidecar_options options = {
         .instance = self->instance,
@@ -109,47 +115,49 @@
         .may_order = may_order,
         .context = self,
     };
-    struct ward *ward = g_new0(struct ward, 1);
+    struct managed_engine *engine = g_new0(struct managed_engine, 1);
 
-    ward->id = g_strdup(upstream->id);
-    /* Without a listener nothing can fail. */
-    ward->guard = pgw_engine_sidecar_new(self->loop, &options, NULL);
-    g_hash_table_insert(self->wards, ward->id, ward);
+    engine->id = g_strdup(upstream->id);
+    /* Only listening can fail, and this sidecar has no listen address. */
+    engine->sidecar = pgw_engine_sidecar_new(self->loop, &options, NULL);
+    g_hash_table_insert(self->managed_engines, engine->id, engine);
     pgw_log_info("unguarded", "upstream=%s engine=%s", upstream->id,
                  upstream->address_text);
-    return ward;
+    return engine;
 }
 
 static void
-name_weights(struct pgw_sidecarless *self, struct ward *ward,
-             const struct pgw_upstream *upstream)
+set_target_weights(struct pgw_sidecarless *self, struct managed_engine *engine,
+                   const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < upstream->model_count; i++) {
-        uint64_t version = wanted_version(self, upstream, i);
+        uint64_t version = target_version(self, upstream, i);
 
         if (version > 0) {
-            /* It has waited for seconds by now: it begins at once. */
-            pgw_engine_sidecar_set_target_weights(ward->guard,
+            /* The engine has been without orders for seconds, so it loads at
+             * once instead of waiting for its turn. */
+            pgw_engine_sidecar_set_target_weights(engine->sidecar,
                                                   upstream->models[i].model,
                                                   version, 0, upstream->id);
         }
     }
 }
 
-/* Those that have loaded, left or got a sidecar need nobody any more. */
+/* Drops engines that have loaded their weights, left or got a sidecar; with
+ * @all, every engine. */
 static void
-drop_wards(struct pgw_sidecarless *self, bool all)
+drop_managed_engines(struct pgw_sidecarless *self, bool all)
 {
     const struct pgw_upstream_table *table =
         pgw_gateway_upstreams(self->gateway);
     GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&iter, self->wards);
+    g_hash_table_iter_init(&iter, self->managed_engines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct ward *ward = value;
+        const struct managed_engine *engine = value;
         const struct pgw_upstream *upstream =
-            pgw_upstream_table_find(table, ward->id);
+            pgw_upstream_table_find(table, engine->id);
 
         if (all || upstream == NULL || !needs_orders(self, upstream)) {
             g_hash_table_iter_remove(&iter);
@@ -157,9 +165,10 @@
     }
 }
 
-/* Returns whether an engine needs orders. */
+/* Sets the target weights of engines that need orders, if the lease is held.
+ * Returns whether there is such an engine. */
 static bool
-look(struct pgw_sidecarless *self, bool holds)
+check_engines(struct pgw_sidecarless *self, bool holds)
 {
     bool any = false;
 
@@ -167,7 +176,7 @@
         item, pgw_upstream_table_all(pgw_gateway_upstreams(self->gateway))) {
         const struct pgw_upstream *upstream =
             pgw_container_of(item, struct pgw_upstream, in_table);
-        struct ward *ward;
+        struct managed_engine *engine;
 
         if (!needs_orders(self, upstream)) {
             continue;
@@ -176,11 +185,11 @@
         if (!holds) {
             continue;
         }
-        ward = g_hash_table_lookup(self->wards, upstream->id);
-        if (ward == NULL) {
-            ward = ward_new(self, upstream);
+        engine = g_hash_table_lookup(self->managed_engines, upstream->id);
+        if (engine == NULL) {
+            engine = managed_engine_new(self, upstream);
         }
-        name_weights(self, ward, upstream);
+        set_target_weights(self, engine, upstream);
     }
     return any;
 }
@@ -198,10 +207,10 @@
         store->read(context);
         break;
     case PGW_LEASE_CREATE:
-        store->write(context, 0, self->lease.writes);
+        store->write(context, 0, self->lease.write_count);
         break;
     case PGW_LEASE_REPLACE:
-        store->write(context, self->lease.revision, self->lease.writes);
+        store->write(context, self->lease.revision, self->lease.write_count);
         break;
     }
 }
@@ -211,24 +220,24 @@
 {
     bool holds = pgw_lease_holds(&self->lease, pgw_boot_now_us());
 
-    if (holds != self->held) {
+    if (holds != self->logged_holds) {
         pgw_log_info("lease", "holds=%d revision=%" G_GUINT64_FORMAT,
                      (int)holds, self->lease.revision);
-        self->held = holds;
+        self->logged_holds = holds;
     }
-    drop_wards(self, !holds);
-    pgw_lease_set_wanted(&self->lease, look(self, holds));
+    drop_managed_engines(self, !holds);
+    pgw_lease_set_wanted(&self->lease, check_engines(self, holds));
     step_lease(self);
 }
 
 static void
-look_due(struct pgw_timer *timer)
+check_due(struct pgw_timer *timer)
 {
     struct pgw_sidecarless *self =
         pgw_container_of(timer, struct pgw_sidecarless, timer);
 
     tick(self);
-    pgw_timer_start(self->loop, &self->timer, LOOK_US);
+    pgw_timer_start(self->loop, &self->timer, CHECK_INTERVAL_US);
 }
 
 struct pgw_sidecarless *
@@ -243,51 +252,53 @@
     self->links = links;
     self->options = *options;
     self->instance = g_strdup(options->instance);
-    self->wards =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ward_free);
+    self->managed_engines = g_hash_table_new_full(g_str_hash, g_str_equal,
+                                                  NULL, managed_engine_free);
     pgw_lease_init(&self->lease, &options->lease);
-    self->timer.on_due = look_due;
-    pgw_timer_start(loop, &self->timer, LOOK_US);
+    self->timer.on_due = check_due;
+    pgw_timer_start(loop, &self->timer, CHECK_INTERVAL_US);
     return self;
 }
 
 void
-pgw_sidecarless_free(struct pgw_sidecarless *unguarded)
+pgw_sidecarless_free(struct pgw_sidecarless *sidecarless)
 {
-    pgw_timer_stop(unguarded->loop, &unguarded->timer);
-    g_hash_table_destroy(unguarded->wards);
-    g_free(unguarded->instance);
-    g_free(unguarded);
+    pgw_timer_stop(sidecarless->loop, &sidecarless->timer);
+    g_hash_table_destroy(sidecarless->managed_engines);
+    g_free(sidecarless->instance);
+    g_free(sidecarless);
 }
 
 void
-pgw_sidecarless_finish_read(struct pgw_sidecarless *unguarded,
-                            enum pgw_lease_result result, bool mine,
-                            uint64_t number, uint64_t revision)
+pgw_sidecarless_finish_read(struct pgw_sidecarless *sidecarless,
+                            enum pgw_lease_result result, bool names_self,
+                            uint64_t write_number, uint64_t revision)
 {
-    pgw_lease_finish_read(&unguarded->lease, result, mine, number, revision,
-                          pgw_boot_now_us());
-    step_lease(unguarded);
+    pgw_lease_finish_read(&sidecarless->lease, result, names_self,
+                          write_number, revision, pgw_boot_now_us());
+    step_lease(sidecarless);
 }
 
 void
-pgw_sidecarless_finish_write(struct pgw_sidecarless *unguarded,
+pgw_sidecarless_finish_write(struct pgw_sidecarless *sidecarless,
                              enum pgw_lease_result result, uint64_t revision)
 {
-    pgw_lease_finish_write(&unguarded->lease, result, revision,
+    pgw_lease_finish_write(&sidecarless->lease, result, revision,
                            pgw_boot_now_us());
-    tick(unguarded);
+    tick(sidecarless);
 }
 
 void
-pgw_sidecarless_finish_token(struct pgw_sidecarless *unguarded, uint64_t token)
+pgw_sidecarless_finish_token(struct pgw_sidecarless *sidecarless,
+                             uint64_t token)
 {
     GHashTableIter iter;
     gpointer value;
 
-    unguarded->token_asked = false;
-    g_hash_table_iter_init(&iter, unguarded->wards);
+    sidecarless->token_requested = false;
+    g_hash_table_iter_init(&iter, sidecarless->managed_engines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_engine_sidecar_take_token(((struct ward *)value)->guard, token);
+        pgw_engine_sidecar_take_token(
+            ((struct managed_engine *)value)->sidecar, token);
     }
 }
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -3,64 +3,67 @@
 #include "util/log.h"
 #include "util/metric.h"
 
-#define LOOK_US 100000
-/* A request is not taken back from an upstream that it has just reached. */
-#define LEAST_AGE_US 1000000
-/* An engine that generates sends something many times in a second, so that one
- * which does not stands still, however seldom its sidecar speaks. Callers wait
- * two seconds and more for an event, and the next engine has to read the
- * prompt in what is left of that. */
-#define STILL_US 1000000
-
-static struct pgw_metric_gauge silent_now = {
+#define CHECK_INTERVAL_US 100000
+/* An attempt younger than this is not moved to another upstream. */
+#define MIN_ATTEMPT_AGE_US 1000000
+/* An engine that decodes sends events many times a second. A longer gap in a
+ * stream means that the engine has stopped, however seldom its sidecar
+ * reports. Callers give up after two seconds or more without an event, and the
+ * next engine must prefill the prompt in the rest of that time. */
+#define STREAM_STALL_US 1000000
+
+static struct pgw_metric_gauge unresponsive_upstreams = {
     .name = "pgw_gateway_silent_upstreams",
-    .help = "Upstreams of which, and of whose sidecar, nothing is heard",
+    .help = "Upstreams that, like their sidecars, have stopped sending",
 };
-static struct pgw_metric_counter moved = {
+static struct pgw_metric_counter failed_over = {
     .name = "pgw_gateway_moved_total",
-    .help = "Requests sent on since their upstream had fallen silent",
+    .help = "Requests moved to another upstream after theirs stopped sending",
 };
-static struct pgw_metric_counter orphaned = {
+static struct pgw_metric_counter process_ended = {
     .name = "pgw_gateway_orphaned_total",
-    .help = "Requests whose upstream's process was over without an answer",
+    .help = "Requests whose upstream process ended without an answer",
 };
 
-/* Says once that an upstream has fallen silent, and once that it has not. */
+/* Logs when an upstream stops responding and when it responds again. Returns
+ * whether it is suspect or unresponsive. */
 static bool
-note_liveness(struct pgw_upstream *upstream, uint64_t now_us)
+log_liveness_change(struct pgw_upstream *upstream, uint64_t now_us)
 {
-    bool silent = pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE;
+    bool suspect = pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE;
 
-    if (silent != upstream->suspect_logged) {
-        upstream->suspect_logged = silent;
+    if (suspect != upstream->suspect_logged) {
+        upstream->suspect_logged = suspect;
         pgw_log_info("upstream_silent",
                      "upstream=%s silent=%d heard_ms=%" G_GUINT64_FORMAT
                      " inflight=%u",
-                     upstream->id, silent,
+                     upstream->id, suspect,
                      pgw_upstream_since_seen_us(upstream, now_us) / 1000,
                      upstream->inflight);
     }
-    return silent;
+    return suspect;
 }
 
 static bool
-is_stuck(const struct pgw_exchange *exchange, uint64_t now_us)
+is_stalled(const struct pgw_exchange *exchange, uint64_t now_us)
 {
     const struct pgw_upstream *upstream = exchange->upstream;
 
     if (upstream == NULL || exchange->caller == NULL ||
         !pgw_call_is_running(&exchange->call) ||
-        now_us - exchange->sent_us < LEAST_AGE_US) {
+        now_us - exchange->sent_us < MIN_ATTEMPT_AGE_US) {
         return false;
     }
     return exchange->phase == PGW_PHASE_RELAYING
-               ? pgw_upstream_since_seen_us(upstream, now_us) >= STILL_US
+               ? pgw_upstream_since_seen_us(upstream, now_us) >=
+                     STREAM_STALL_US
                : pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE;
 }
 
-/* NULL: it goes on elsewhere, and a repeat was taken for it. */
+/* Reserves a retry for a request that can run elsewhere. Returns NULL, or the
+ * reason why the request stays where it is. */
 static const char *
-why_it_stays(struct pgw_exchange *exchange)
+reserve_retry(struct pgw_exchange *exchange)
 {
     if (!pgw_attempt_may_repeat(exchange)) {
         return "may_not_repeat";
@@ -72,7 +75,7 @@
 }
 
 static void
-note_stuck(struct pgw_exchange *exchange, const char *stays, uint64_t now_us)
+log_stalled(struct pgw_exchange *exchange, const char *reason, uint64_t now_us)
 {
     if (exchange->stuck_told) {
         return;
@@ -82,54 +85,57 @@
         "request_stuck",
         "request=%s upstream=%s silent_ms=%" G_GUINT64_FORMAT " stays=%s",
         exchange->facts.id, exchange->upstream->id,
-        pgw_upstream_since_seen_us(exchange->upstream, now_us) / 1000, stays);
+        pgw_upstream_since_seen_us(exchange->upstream, now_us) / 1000, reason);
 }
 
 /*
  * Failure: the machine of an engine is suspended in the middle of its streams.
- * Symptom: their callers wait until they give up, seconds later, and the
- * engine, which cannot hear of that, goes on for callers that have left. One
- * that may be resumed goes on at another engine before its caller leaves; the
- * connection is closed, so that the first engine ends as soon as it hears
- * anything. Only where there is a place: here it may still go on.
+ * Symptom: callers wait until they give up, seconds later, and the engine
+ * cannot learn of that and, once awake, goes on decoding for callers that have
+ * left. A request that may be resumed continues at another engine before its
+ * caller gives up. Closing the connection stops the first engine as soon as it
+ * receives anything. Without a free slot elsewhere the request stays, since
+ * its engine may still go on.
  */
 static void
-move(struct pgw_exchange *exchange, uint64_t now_us)
+fail_over(struct pgw_exchange *exchange, uint64_t now_us)
 {
-    const char *stays = why_it_stays(exchange);
+    const char *reason_to_stay = reserve_retry(exchange);
 
-    if (stays != NULL) {
-        note_stuck(exchange, stays, now_us);
+    if (reason_to_stay != NULL) {
+        log_stalled(exchange, reason_to_stay, now_us);
         return;
     }
-    pgw_metric_counter_add(&moved, 1);
+    pgw_metric_counter_add(&failed_over, 1);
     pgw_call_cancel(&exchange->call);
     pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
     pgw_attempt_repeat(exchange, "silent");
 }
 
-/* Sent to a process whose place another one has taken, and nothing has come
- * since. */
+/* Whether the request was sent to a process that another one has replaced, and
+ * no byte has come for the time left to late ones. */
 static bool
-is_orphaned(const struct pgw_exchange *exchange, uint64_t now_us)
+has_process_ended(const struct pgw_exchange *exchange, uint64_t now_us)
 {
-    uint64_t ended =
+    uint64_t replaced_at_us =
         exchange->upstream == NULL ? 0 : exchange->upstream->replaced_at_us;
 
-    return exchange->sent_us < ended && pgw_call_is_running(&exchange->call) &&
-           now_us >= MAX(ended, exchange->last_byte_us) +
+    return exchange->sent_us < replaced_at_us &&
+           pgw_call_is_running(&exchange->call) &&
+           now_us >= MAX(replaced_at_us, exchange->last_byte_us) +
                          exchange->gateway->options.last_bytes_us;
 }
 
 /*
- * Failure: the machine of an upstream loses its power, so that nothing closes
- * its connections, and its successor is listed. Symptom: callers wait for the
- * dead process until their deadlines.
+ * Failure: the machine of an upstream loses power, so nothing closes its
+ * connections, and a new process is listed in its place. Symptom: callers wait
+ * for the ended process until their deadlines. Its requests end once their
+ * last bytes can no longer be in flight.
  */
 static void
-end_orphaned(struct pgw_exchange *exchange)
+end_for_ended_process(struct pgw_exchange *exchange)
 {
-    pgw_metric_counter_add(&orphaned, 1);
+    pgw_metric_counter_add(&process_ended, 1);
     pgw_call_cancel(&exchange->call);
     pgw_attempt_unknown(exchange, "process_ended");
 }
@@ -138,45 +144,46 @@
 pgw_unresponsive_check(struct pgw_gateway *gateway)
 {
     uint64_t now = pgw_now_us();
-    unsigned silent = 0;
+    unsigned suspects = 0;
 
     pgw_list_foreach (link, pgw_upstream_table_all(gateway->upstreams)) {
-        silent += note_liveness(
+        suspects += log_liveness_change(
             pgw_container_of(link, struct pgw_upstream, in_table), now);
     }
-    pgw_metric_gauge_set(&silent_now, silent);
-    /* Requests at an upstream that has left the list are looked at, too. */
+    pgw_metric_gauge_set(&unresponsive_upstreams, suspects);
+    /* Includes requests at upstreams that are no longer in the table. */
     pgw_list_foreach_safe (link, &gateway->exchanges) {
         struct pgw_exchange *exchange =
             pgw_container_of(link, struct pgw_exchange, in_gateway);
 
-        if (is_orphaned(exchange, now)) {
-            end_orphaned(exchange);
+        if (has_process_ended(exchange, now)) {
+            end_for_ended_process(exchange);
         }
-        else if (is_stuck(exchange, now)) {
-            move(exchange, now);
+        else if (is_stalled(exchange, now)) {
+            fail_over(exchange, now);
         }
     }
 }
 
 static void
-look_due(struct pgw_timer *timer)
+check_due(struct pgw_timer *timer)
 {
     struct pgw_gateway *gateway =
         pgw_container_of(timer, struct pgw_gateway, unresponsive_timer);
 
     pgw_unresponsive_check(gateway);
-    pgw_timer_start(gateway->loop, timer, LOOK_US);
+    pgw_timer_start(gateway->loop, timer, CHECK_INTERVAL_US);
 }
 
 void
 pgw_unresponsive_start(struct pgw_gateway *gateway)
 {
-    pgw_metric_register_gauge(&silent_now);
-    pgw_metric_register_counter(&moved);
-    pgw_metric_register_counter(&orphaned);
-    gateway->unresponsive_timer.on_due = look_due;
-    pgw_timer_start(gateway->loop, &gateway->unresponsive_timer, LOOK_US);
+    pgw_metric_register_gauge(&unresponsive_upstreams);
+    pgw_metric_register_counter(&failed_over);
+    pgw_metric_register_counter(&process_ended);
+    gateway->unresponsive_timer.on_due = check_due;
+    pgw_timer_start(gateway->loop, &gateway->unresponsive_timer,
+                    CHECK_INTERVAL_US);
 }
 
 void
--- a/src/gateway/unresponsive.h
+++ b/src/gateway/unresponsive.h
@@ -6,17 +6,18 @@
 /**
  * DOC: Failover from upstreams that do not respond
  *
- * Looks a few times a second for upstreams from which nothing comes any more,
- * says so in the log, and sends elsewhere what may run there.
+ * A periodic check, ten times a second, logs upstreams that have stopped
+ * responding and moves their requests to other upstreams where a retry is
+ * allowed.
  */
 
-/** pgw_unresponsive_start() - begin to look */
+/** pgw_unresponsive_start() - start the periodic check */
 void pgw_unresponsive_start(struct pgw_gateway *gateway);
 
-/** pgw_unresponsive_stop() - look no more */
+/** pgw_unresponsive_stop() - stop the periodic check */
 void pgw_unresponsive_stop(struct pgw_gateway *gateway);
 
-/** pgw_unresponsive_check() - look now; on the gateway's thread */
+/** pgw_unresponsive_check() - check now; on the gateway's thread */
 void pgw_unresponsive_check(struct pgw_gateway *gateway);
 
 #endif
--- a/tests/unit/test_sidecarless.c
+++ b/tests/unit/test_sidecarless.c
@@ -12,51 +12,52 @@
 #include <unistd.h>
 
 /**
- * struct stage - an entry before an engine on whose machine no process of ours
- * listens; the test is the store
- * @answer: runs on the loop and answers the call that was made last
- * @call: that call
- * @other_holds: another entry holds the lease
- * @reads: how often the lease was read; under @lock
+ * struct fixture - an entry and an engine without a sidecar; the test acts as
+ * the store
+ * @answer_task: runs on the loop and answers the last call to the store
+ * @pending_call: that call
+ * @revision: revision of the lease object
+ * @held_by_other: another entry holds the lease
+ * @reads: how often the lease was read; protected by @lock
  */
-struct stage {
+struct fixture {
     struct pgw_loop *loop;
     struct pgw_gateway *gateway;
     struct pgw_sidecar_links *links;
-    struct pgw_sidecarless *unguarded;
+    struct pgw_sidecarless *sidecarless;
     struct scene_engine engine;
     pthread_t thread;
-    struct pgw_task answer;
+    struct pgw_task answer_task;
     enum {
         READ,
         WRITE,
         TOKEN
-    } call;
+    } pending_call;
     uint64_t revision;
-    bool other_holds;
+    bool held_by_other;
     pthread_mutex_t lock;
     unsigned reads;
 };
 
-static struct stage *stage;
+static struct fixture *fixture;
 
 static void
 answer_run(struct pgw_task *task)
 {
     (void)task;
-    switch (stage->call) {
+    switch (fixture->pending_call) {
     case READ:
-        pgw_sidecarless_finish_read(stage->unguarded,
-                                    stage->other_holds ? PGW_LEASE_DONE
-                                                       : PGW_LEASE_ABSENT,
-                                    false, 0, stage->revision);
+        pgw_sidecarless_finish_read(fixture->sidecarless,
+                                    fixture->held_by_other ? PGW_LEASE_DONE
+                                                           : PGW_LEASE_ABSENT,
+                                    false, 0, fixture->revision);
         break;
     case WRITE:
-        pgw_sidecarless_finish_write(stage->unguarded, PGW_LEASE_DONE,
-                                     ++stage->revision);
+        pgw_sidecarless_finish_write(fixture->sidecarless, PGW_LEASE_DONE,
+                                     ++fixture->revision);
         break;
     case TOKEN:
-        pgw_sidecarless_finish_token(stage->unguarded, 41);
+        pgw_sidecarless_finish_token(fixture->sidecarless, 41);
         break;
     }
 }
@@ -64,18 +65,18 @@
 static void
 post_answer(int call)
 {
-    stage->call = call;
-    stage->answer.run = answer_run;
-    pgw_loop_post(stage->loop, &stage->answer);
+    fixture->pending_call = call;
+    fixture->answer_task.run = answer_run;
+    pgw_loop_post(fixture->loop, &fixture->answer_task);
 }
 
 static void
 read_lease(void *context)
 {
     (void)context;
-    pthread_mutex_lock(&stage->lock);
-    stage->reads++;
-    pthread_mutex_unlock(&stage->lock);
+    pthread_mutex_lock(&fixture->lock);
+    fixture->reads++;
+    pthread_mutex_unlock(&fixture->lock);
     post_answer(READ);
 }
 
@@ -101,7 +102,7 @@
     .get_token = get_token,
 };
 
-/* A port of loopback where nobody listens. */
+/* Returns a loopback port without a listener. */
 static uint16_t
 closed_port(void)
 {
@@ -130,13 +131,13 @@
     };
 
     pgw_address_format(text, address);
-    pgw_upstream_table_put(pgw_gateway_upstreams(stage->gateway), &facts);
+    pgw_upstream_table_put(pgw_gateway_upstreams(fixture->gateway), &facts);
 }
 
-/* @port: where a sidecar would listen; @refused_us: for so long nobody has to
- * listen there before an entry may act. */
+/* @port: port on which a sidecar would listen; @refused_us: how long it must
+ * have refused connections before an entry may act. */
 static void
-stage_open_at(bool other_holds, uint16_t port, uint64_t refused_us)
+fixture_open_at(bool held_by_other, uint16_t port, uint64_t refused_us)
 {
     struct pgw_gateway_options gateway = {
         .instance = "entry-1",
@@ -155,44 +156,45 @@
     };
     struct pgw_address engine;
 
-    stage = g_new0(struct stage, 1);
-    pthread_mutex_init(&stage->lock, NULL);
-    stage->other_holds = other_holds;
-    stage->revision = 7;
-    stage->engine.version = 1;
-    stage->engine.listener = scene_listen(&engine);
+    fixture = g_new0(struct fixture, 1);
+    pthread_mutex_init(&fixture->lock, NULL);
+    fixture->held_by_other = held_by_other;
+    fixture->revision = 7;
+    fixture->engine.version = 1;
+    fixture->engine.listener = scene_listen(&engine);
     g_assert_true(pgw_address_parse(&gateway.listen, "127.0.0.1:0", NULL));
-    stage->loop = pgw_loop_new(NULL);
-    stage->gateway = pgw_gateway_new(stage->loop, &gateway, NULL);
-    stage->links = pgw_sidecar_links_new(stage->loop, stage->gateway, port);
+    fixture->loop = pgw_loop_new(NULL);
+    fixture->gateway = pgw_gateway_new(fixture->loop, &gateway, NULL);
+    fixture->links =
+        pgw_sidecar_links_new(fixture->loop, fixture->gateway, port);
     put_engine(&engine, 1);
-    pgw_gateway_set_target_weights(stage->gateway, "m", 2, 0);
-    pgw_sidecar_links_refresh(stage->links);
+    pgw_gateway_set_target_weights(fixture->gateway, "m", 2, 0);
+    pgw_sidecar_links_refresh(fixture->links);
     options.lease.poll_us = 1;
-    stage->unguarded = pgw_sidecarless_new(stage->loop, stage->gateway,
-                                           stage->links, &options);
-    pthread_create(&stage->thread, NULL, scene_loop_main, stage->loop);
+    fixture->sidecarless = pgw_sidecarless_new(fixture->loop, fixture->gateway,
+                                               fixture->links, &options);
+    pthread_create(&fixture->thread, NULL, scene_loop_main, fixture->loop);
 }
 
 static void
-stage_open(bool other_holds)
+fixture_open(bool held_by_other)
 {
-    stage_open_at(other_holds, closed_port(), 0);
+    fixture_open_at(held_by_other, closed_port(), 0);
 }
 
 static void
-stage_close(void)
+fixture_close(void)
 {
-    pgw_loop_stop(stage->loop);
-    pthread_join(stage->thread, NULL);
-    pgw_sidecarless_free(stage->unguarded);
-    pgw_sidecar_links_free(stage->links);
-    pgw_gateway_free(stage->gateway);
-    pgw_loop_free(stage->loop);
-    close(stage->engine.listener);
-    pthread_mutex_destroy(&stage->lock);
-    g_free(stage->engine.order);
-    g_free(stage);
+    pgw_loop_stop(fixture->loop);
+    pthread_join(fixture->thread, NULL);
+    pgw_sidecarless_free(fixture->sidecarless);
+    pgw_sidecar_links_free(fixture->links);
+    pgw_gateway_free(fixture->gateway);
+    pgw_loop_free(fixture->loop);
+    close(fixture->engine.listener);
+    pthread_mutex_destroy(&fixture->lock);
+    g_free(fixture->engine.order);
+    g_free(fixture);
 }
 
 static bool
@@ -202,57 +204,57 @@
 }
 
 /*
- * An engine has started at an address where no sidecar runs, with older
- * weights than the named ones. Callers would get answers of the old weights,
- * or none from it once these are too old. An entry takes the lease and gives
- * the order, with a fencing token, in its own name and to this incarnation
- * alone.
+ * An engine starts at an address without a sidecar, with weights older than
+ * the target version. Callers would get answers of old weights, or none once
+ * these are too old. An entry takes the lease and gives the order with a
+ * fencing token, with itself as the holder, and only to this incarnation.
  */
 static void
-test_entry_orders(void)
+test_entry_gives_order(void)
 {
-    stage_open(false);
-    scene_engine_play(&stage->engine, is_ordered);
-    g_assert_nonnull(strstr(stage->engine.order, "\"version\":2"));
-    g_assert_nonnull(strstr(stage->engine.order, "\"fence\":41"));
-    g_assert_nonnull(strstr(stage->engine.order, "\"holder\":\"entry-1\""));
-    stage_close();
+    fixture_open(false);
+    scene_engine_play(&fixture->engine, is_ordered);
+    g_assert_nonnull(strstr(fixture->engine.order, "\"version\":2"));
+    g_assert_nonnull(strstr(fixture->engine.order, "\"fence\":41"));
+    g_assert_nonnull(strstr(fixture->engine.order, "\"holder\":\"entry-1\""));
+    fixture_close();
 }
 
 static unsigned
-reads(void)
+read_count(void)
 {
     unsigned count;
 
-    pthread_mutex_lock(&stage->lock);
-    count = stage->reads;
-    pthread_mutex_unlock(&stage->lock);
+    pthread_mutex_lock(&fixture->lock);
+    count = fixture->reads;
+    pthread_mutex_unlock(&fixture->lock);
     return count;
 }
 
 /*
- * Another entry holds the lease and gives the orders. This one reads it again
- * and again and must not say a word to the engine: two that give orders in
- * turn may load an older version last.
+ * Another entry holds the lease and gives the orders. This entry polls the
+ * lease and must not contact the engine: orders from two entries in turn could
+ * load an older version last.
  */
 static void
-test_no_order_without_the_lease(void)
+test_no_order_without_lease(void)
 {
-    struct pollfd waits = {.events = POLLIN};
+    struct pollfd connection = {.events = POLLIN};
 
-    stage_open(true);
-    waits.fd = stage->engine.listener;
-    while (reads() < 4) {
+    fixture_open(true);
+    connection.fd = fixture->engine.listener;
+    while (read_count() < 4) {
         g_usleep(1000);
     }
-    /* Nobody has even connected. */
-    g_assert_cmpint(poll(&waits, 1, 0), ==, 0);
-    stage_close();
+    /* There is not even a connection. */
+    g_assert_cmpint(poll(&connection, 1, 0), ==, 0);
+    fixture_close();
 }
 
-/* A socket that is bound, so that connections to its port are refused. */
+/* Returns a socket that is bound but does not listen, so that connections to
+ * its port are refused. */
 static int
-bind_only(uint16_t *port)
+bind_without_listening(uint16_t *port)
 {
     struct sockaddr_in in = {.sin_family = AF_INET,
                              .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -266,28 +268,29 @@
 }
 
 /*
- * An entry starts before the sidecars and is refused once; then it is
- * connected, and the sidecar has not said anything of its engine yet, which
- * has old weights. The sidecar is there to give orders: two that do so would
- * take turns, and the one with the lower fencing token would be refused.
+ * An entry starts before the sidecar, so its first connection is refused. Then
+ * it connects, while the sidecar has not yet reported on its engine, which has
+ * old weights. The entry must not take the lease: the sidecar gives the
+ * orders. If both did, the engine would refuse those with the lower fencing
+ * token.
  */
 static void
-test_sidecar_that_starts_later(void)
+test_no_lease_with_late_sidecar(void)
 {
     uint16_t port;
-    int sidecar = bind_only(&port);
+    int sidecar = bind_without_listening(&port);
     int link;
 
-    stage_open_at(false, port, 1500000);
+    fixture_open_at(false, port, 1500000);
     g_usleep(100000);
     g_assert_cmpint(listen(sidecar, 8), ==, 0);
     link = accept(sidecar, NULL, NULL);
     g_assert_cmpint(link, >=, 0);
     g_usleep(2500000);
-    pthread_mutex_lock(&stage->lock);
-    g_assert_cmpuint(stage->reads, ==, 0);
-    pthread_mutex_unlock(&stage->lock);
-    stage_close();
+    pthread_mutex_lock(&fixture->lock);
+    g_assert_cmpuint(fixture->reads, ==, 0);
+    pthread_mutex_unlock(&fixture->lock);
+    fixture_close();
     close(link);
     close(sidecar);
 }
@@ -297,8 +300,10 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/unguarded/orders", test_entry_orders);
-    g_test_add_func("/unguarded/no_lease", test_no_order_without_the_lease);
-    g_test_add_func("/unguarded/starts_later", test_sidecar_that_starts_later);
+    g_test_add_func("/sidecarless/entry_gives_order", test_entry_gives_order);
+    g_test_add_func("/sidecarless/no_order_without_lease",
+                    test_no_order_without_lease);
+    g_test_add_func("/sidecarless/no_lease_with_late_sidecar",
+                    test_no_lease_with_late_sidecar);
     return g_test_run();
 }
