--- a/src/gateway/crash_quarantine.c
+++ b/src/gateway/crash_quarantine.c
@@ -4,66 +4,68 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* Runs that broke off and are not linked to a crash yet; a lost rack of 40
- * engines with 64 runs each is below it. */
-#define BROKEN_MAX 4096
+/* Most interrupted runs kept that no crash has been matched to. A rack failure
+ * of 40 engines with 64 runs each stays below it. */
+#define INTERRUPTED_RUNS_MAX 4096
 
 static struct pgw_metric_counter crashes_counted = {
     .name = "pgw_gateway_poison_crashes_total",
-    .help = "Runs that were under way at an upstream that crashed",
+    .help = "Runs that were interrupted by a crash of their upstream",
 };
-static struct pgw_metric_gauge remembered = {
+static struct pgw_metric_gauge record_count = {
     .name = "pgw_gateway_poison_records",
-    .help = "Fingerprints of requests that ran while an upstream crashed",
+    .help = "Fingerprints of requests that were running in a crash",
 };
 
 /*
- * struct record - one fingerprint and the crashes that it was in
- * @crashes: the latest ones, the oldest first
- * @at_us: when the run broke off, of each
- * @count: of @crashes
- * @valid: how many of these, the last ones, count against it
- * @last_us: time of the last one
- * @holds: how often it was held back
- * @held_until_us: it is held back until then
+ * struct record - a fingerprint and the crashes in which it was running
+ * @fingerprint: fingerprint of the request
+ * @crashes: hashes of the last incarnations that crashed, the oldest first
+ * @at_us: for each of @crashes, when the run was interrupted
+ * @count: number of @crashes
+ * @counted: number of crashes, the last ones, that count towards the threshold
+ * @last_us: time of the last crash
+ * @quarantine_count: how often the fingerprint was quarantined
+ * @quarantined_until_us: end of the current quarantine
  *
- * Void crashes stay: a crash that arrives behind the good end that made it
- * void must not look new, or entries would pass both on for ever.
+ * Crashes that a completed run has cleared are kept. Such a crash may arrive
+ * again after the completed run; if it looked new, entries would pass both on
+ * to each other for ever.
  */
 struct record {
     struct pgw_fingerprint fingerprint;
     uint64_t crashes[PGW_CRASH_QUARANTINE_CRASHES_MAX];
     uint64_t at_us[PGW_CRASH_QUARANTINE_CRASHES_MAX];
     uint32_t count;
-    uint32_t valid;
+    uint32_t counted;
     uint64_t last_us;
-    uint32_t holds;
-    uint64_t held_until_us;
+    uint32_t quarantine_count;
+    uint64_t quarantined_until_us;
 };
 
-/* struct broken_run - a run that broke off; its upstream may have crashed */
-struct broken_run {
+/* struct interrupted_run - a run whose upstream may have crashed */
+struct interrupted_run {
     struct pgw_fingerprint fingerprint;
     uint64_t crash;
     uint64_t at_us;
 };
 
-/* struct dead_upstream - an incarnation that crashed of late */
-struct dead_upstream {
+/* struct crashed_upstream - an incarnation that crashed recently */
+struct crashed_upstream {
     uint64_t crash;
     uint64_t at_us;
 };
 
 /*
  * @records: fingerprint -> &struct record
- * @broken: of &struct broken_run, the oldest first
- * @dead: of &struct dead_upstream, the oldest first
+ * @interrupted: of &struct interrupted_run, the oldest first
+ * @crashed_upstreams: of &struct crashed_upstream, the oldest first
  */
 struct pgw_crash_quarantine {
     struct pgw_crash_quarantine_options options;
     GHashTable *records;
-    GArray *broken;
-    GArray *dead;
+    GArray *interrupted;
+    GArray *crashed_upstreams;
     void (*on_crashed)(const struct pgw_crashed_run *crashed, size_t count,
                        void *context);
     void *context;
@@ -72,130 +74,146 @@
 struct pgw_crash_quarantine *
 pgw_crash_quarantine_new(const struct pgw_crash_quarantine_options *options)
 {
-    struct pgw_crash_quarantine *poison =
+    struct pgw_crash_quarantine *quarantine =
         g_new0(struct pgw_crash_quarantine, 1);
 
     g_assert(options->crashes <= PGW_CRASH_QUARANTINE_CRASHES_MAX);
-    poison->options = *options;
-    poison->records = g_hash_table_new_full(
+    quarantine->options = *options;
+    quarantine->records = g_hash_table_new_full(
         pgw_fingerprint_hash, pgw_fingerprint_equal, NULL, g_free);
-    poison->broken = g_array_new(FALSE, FALSE, sizeof(struct broken_run));
-    poison->dead = g_array_new(FALSE, FALSE, sizeof(struct dead_upstream));
+    quarantine->interrupted =
+        g_array_new(FALSE, FALSE, sizeof(struct interrupted_run));
+    quarantine->crashed_upstreams =
+        g_array_new(FALSE, FALSE, sizeof(struct crashed_upstream));
     pgw_metric_register_counter(&crashes_counted);
-    pgw_metric_register_gauge(&remembered);
-    return poison;
+    pgw_metric_register_gauge(&record_count);
+    return quarantine;
 }
 
 void
-pgw_crash_quarantine_free(struct pgw_crash_quarantine *poison)
+pgw_crash_quarantine_free(struct pgw_crash_quarantine *quarantine)
 {
-    g_array_unref(poison->broken);
-    g_array_unref(poison->dead);
-    g_hash_table_destroy(poison->records);
-    g_free(poison);
+    g_array_unref(quarantine->interrupted);
+    g_array_unref(quarantine->crashed_upstreams);
+    g_hash_table_destroy(quarantine->records);
+    g_free(quarantine);
 }
 
 void
 pgw_crash_quarantine_subscribe(
-    struct pgw_crash_quarantine *poison,
+    struct pgw_crash_quarantine *quarantine,
     void (*on_crashed)(const struct pgw_crashed_run *crashed, size_t count,
                        void *context),
     void *context)
 {
-    poison->on_crashed = on_crashed;
-    poison->context = context;
+    quarantine->on_crashed = on_crashed;
+    quarantine->context = context;
 }
 
 static void
-publish(const struct pgw_crash_quarantine *poison,
+publish(const struct pgw_crash_quarantine *quarantine,
         const struct pgw_crashed_run *crashed, size_t count)
 {
-    if (count > 0 && poison->on_crashed != NULL) {
-        poison->on_crashed(crashed, count, poison->context);
+    if (count > 0 && quarantine->on_crashed != NULL) {
+        quarantine->on_crashed(crashed, count, quarantine->context);
     }
 }
 
-static struct broken_run *
-broken_at(const struct pgw_crash_quarantine *poison, guint index)
+static struct interrupted_run *
+interrupted_at(const struct pgw_crash_quarantine *quarantine, guint index)
 {
-    return &g_array_index(poison->broken, struct broken_run, index);
+    return &g_array_index(quarantine->interrupted, struct interrupted_run,
+                          index);
 }
 
-static struct dead_upstream *
-dead_at(const struct pgw_crash_quarantine *poison, guint index)
+static struct crashed_upstream *
+crashed_at(const struct pgw_crash_quarantine *quarantine, guint index)
 {
-    return &g_array_index(poison->dead, struct dead_upstream, index);
+    return &g_array_index(quarantine->crashed_upstreams,
+                          struct crashed_upstream, index);
 }
 
-/* What is older than the time in which both belong together. */
+/* Drops interrupted runs and crashes that are too old to be matched, and the
+ * oldest runs beyond the limit. */
 static void
-forget_old(struct pgw_crash_quarantine *poison, uint64_t now_us)
+drop_expired(struct pgw_crash_quarantine *quarantine, uint64_t now_us)
 {
-    uint64_t crash_match_us = poison->options.crash_match_us;
-    guint old = 0;
-
-    while (old < poison->broken->len &&
-           (broken_at(poison, old)->at_us + crash_match_us <= now_us ||
-            poison->broken->len - old >= BROKEN_MAX)) {
-        old++;
+    uint64_t crash_match_us = quarantine->options.crash_match_us;
+    guint expired = 0;
+
+    while (expired < quarantine->interrupted->len &&
+           (interrupted_at(quarantine, expired)->at_us + crash_match_us <=
+                now_us ||
+            quarantine->interrupted->len - expired >= INTERRUPTED_RUNS_MAX)) {
+        expired++;
     }
-    g_array_remove_range(poison->broken, 0, old);
-    old = 0;
-    while (old < poison->dead->len &&
-           dead_at(poison, old)->at_us + crash_match_us <= now_us) {
-        old++;
+    g_array_remove_range(quarantine->interrupted, 0, expired);
+    expired = 0;
+    while (expired < quarantine->crashed_upstreams->len &&
+           crashed_at(quarantine, expired)->at_us + crash_match_us <= now_us) {
+        expired++;
     }
-    g_array_remove_range(poison->dead, 0, old);
+    g_array_remove_range(quarantine->crashed_upstreams, 0, expired);
 }
 
 static gboolean
-is_stale(gpointer key, gpointer value, gpointer before_us)
+is_expired(gpointer key, gpointer value, gpointer before_us)
 {
     (void)key;
     return ((struct record *)value)->last_us < *(uint64_t *)before_us;
 }
 
-/* The record of a fingerprint, a new one where there is room. */
+/* Returns the record of a fingerprint, creating it if necessary; NULL if there
+ * is no room for a new one. */
 static struct record *
-record_get(struct pgw_crash_quarantine *poison,
+get_record(struct pgw_crash_quarantine *quarantine,
            const struct pgw_fingerprint *fingerprint, uint64_t now_us)
 {
-    struct record *record = g_hash_table_lookup(poison->records, fingerprint);
-    uint64_t keep_us = poison->options.keep_us;
-    uint64_t before_us = now_us > keep_us ? now_us - keep_us : 0;
+    struct record *record =
+        g_hash_table_lookup(quarantine->records, fingerprint);
+    uint64_t record_lifetime_us = quarantine->options.record_lifetime_us;
+    uint64_t before_us =
+        now_us > record_lifetime_us ? now_us - record_lifetime_us : 0;
 
     if (record != NULL) {
         if (record->last_us < before_us) {
-            record->valid = 0;
-            record->holds = 0;
+            record->counted = 0;
+            record->quarantine_count = 0;
         }
         return record;
     }
-    if (g_hash_table_size(poison->records) >= poison->options.records_max) {
-        g_hash_table_foreach_remove(poison->records, is_stale, &before_us);
+    if (g_hash_table_size(quarantine->records) >=
+        quarantine->options.records_max) {
+        g_hash_table_foreach_remove(quarantine->records, is_expired,
+                                    &before_us);
     }
-    if (g_hash_table_size(poison->records) >= poison->options.records_max) {
+    if (g_hash_table_size(quarantine->records) >=
+        quarantine->options.records_max) {
         pgw_log_info("poison_full", "records=%u",
-                     g_hash_table_size(poison->records));
+                     g_hash_table_size(quarantine->records));
         return NULL;
     }
     record = g_new0(struct record, 1);
     record->fingerprint = *fingerprint;
-    g_hash_table_insert(poison->records, &record->fingerprint, record);
-    pgw_metric_gauge_set(&remembered, g_hash_table_size(poison->records));
+    g_hash_table_insert(quarantine->records, &record->fingerprint, record);
+    pgw_metric_gauge_set(&record_count,
+                         g_hash_table_size(quarantine->records));
     return record;
 }
 
-/* Whether one of the crashes that count was at about the same time. */
+/* Whether a counted crash happened at about the same time, so that both are
+ * taken for one event. */
 static bool
-is_same_event(const struct pgw_crash_quarantine *poison,
-              const struct record *record, uint64_t at_us)
+is_near_counted_crash(const struct pgw_crash_quarantine *quarantine,
+                      const struct record *record, uint64_t at_us)
 {
-    for (uint32_t i = record->count - record->valid; i < record->count; i++) {
-        uint64_t other = record->at_us[i];
-        uint64_t apart = other > at_us ? other - at_us : at_us - other;
+    for (uint32_t i = record->count - record->counted; i < record->count;
+         i++) {
+        uint64_t counted_us = record->at_us[i];
+        uint64_t gap_us =
+            counted_us > at_us ? counted_us - at_us : at_us - counted_us;
 
-        if (apart < poison->options.min_crash_gap_us) {
+        if (gap_us < quarantine->options.min_crash_gap_us) {
             return true;
         }
     }
@@ -203,7 +221,7 @@
 }
 
 static bool
-is_known(const struct record *record, uint64_t crash)
+has_crash(const struct record *record, uint64_t crash)
 {
     for (uint32_t i = 0; i < record->count; i++) {
         if (record->crashes[i] == crash) {
@@ -226,59 +244,63 @@
     record->crashes[record->count] = crash;
     record->at_us[record->count] = at_us;
     record->count++;
-    record->valid = MIN(record->valid + 1, record->count);
+    record->counted = MIN(record->counted + 1, record->count);
     record->last_us = MAX(record->last_us, at_us);
 }
 
-/* Holds a record back whose crashes are enough, for longer each time. */
+/* Quarantines a record that has reached the threshold of crashes, for twice as
+ * long each time. */
 static void
-hold(struct pgw_crash_quarantine *poison, struct record *record,
-     uint64_t now_us)
+quarantine_record(struct pgw_crash_quarantine *quarantine,
+                  struct record *record, uint64_t now_us)
 {
-    uint64_t us = poison->options.hold_us;
+    uint64_t duration_us = quarantine->options.quarantine_us;
 
-    if (record->valid < poison->options.crashes) {
+    if (record->counted < quarantine->options.crashes) {
         return;
     }
-    for (uint32_t i = 0; i < record->holds && us < poison->options.keep_us;
+    for (uint32_t i = 0; i < record->quarantine_count &&
+                         duration_us < quarantine->options.record_lifetime_us;
          i++) {
-        us *= 2;
+        duration_us *= 2;
     }
-    record->holds++;
-    record->held_until_us = now_us + MIN(us, poison->options.keep_us);
+    record->quarantine_count++;
+    record->quarantined_until_us =
+        now_us + MIN(duration_us, quarantine->options.record_lifetime_us);
 }
 
-/* Return: whether this was not known and counts. */
+/* Adds a crash to a fingerprint. Returns whether it is new and counts. */
 static bool
-count_crash(struct pgw_crash_quarantine *poison,
+count_crash(struct pgw_crash_quarantine *quarantine,
             const struct pgw_fingerprint *fingerprint, uint64_t crash,
             uint64_t at_us, uint64_t now_us)
 {
-    struct record *record = record_get(poison, fingerprint, now_us);
+    struct record *record = get_record(quarantine, fingerprint, now_us);
     char name[PGW_FINGERPRINT_HEX];
 
-    if (record == NULL || is_known(record, crash) ||
-        is_same_event(poison, record, at_us)) {
+    if (record == NULL || has_crash(record, crash) ||
+        is_near_counted_crash(quarantine, record, at_us)) {
         return false;
     }
     append_crash(record, crash, at_us);
-    if (now_us >= record->held_until_us) {
-        hold(poison, record, now_us);
+    if (now_us >= record->quarantined_until_us) {
+        quarantine_record(quarantine, record, now_us);
     }
     pgw_metric_counter_add(&crashes_counted, 1);
     pgw_fingerprint_print(name, fingerprint);
-    pgw_log_info(
-        "poison_crash",
-        "fingerprint=%s crash=%016" G_GINT64_MODIFIER "x crashes=%u held=%d",
-        name, crash, record->valid, (int)(now_us < record->held_until_us));
+    pgw_log_info("poison_crash",
+                 "fingerprint=%s crash=%016" G_GINT64_MODIFIER
+                 "x crashes=%u held=%d",
+                 name, crash, record->counted,
+                 (int)(now_us < record->quarantined_until_us));
     return true;
 }
 
 static bool
-is_dead(const struct pgw_crash_quarantine *poison, uint64_t crash)
+has_crashed(const struct pgw_crash_quarantine *quarantine, uint64_t crash)
 {
-    for (guint i = 0; i < poison->dead->len; i++) {
-        if (dead_at(poison, i)->crash == crash) {
+    for (guint i = 0; i < quarantine->crashed_upstreams->len; i++) {
+        if (crashed_at(quarantine, i)->crash == crash) {
             return true;
         }
     }
@@ -286,128 +308,134 @@
 }
 
 void
-pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *quarantine,
                                      const struct pgw_fingerprint *fingerprint,
                                      const char *upstream, uint64_t now_us)
 {
-    struct broken_run run = {*fingerprint, pgw_place_id_hash(upstream),
-                             now_us};
+    struct interrupted_run run = {*fingerprint, pgw_place_id_hash(upstream),
+                                  now_us};
     struct pgw_crashed_run crashed = {*fingerprint, run.crash, 0};
 
-    forget_old(poison, now_us);
-    if (!is_dead(poison, run.crash)) {
-        g_array_append_val(poison->broken, run);
+    drop_expired(quarantine, now_us);
+    if (!has_crashed(quarantine, run.crash)) {
+        g_array_append_val(quarantine->interrupted, run);
     }
-    else if (count_crash(poison, fingerprint, run.crash, now_us, now_us)) {
-        publish(poison, &crashed, 1);
+    else if (count_crash(quarantine, fingerprint, run.crash, now_us, now_us)) {
+        publish(quarantine, &crashed, 1);
     }
 }
 
-/* Counts what broke off at an upstream that has crashed. */
+/* Counts the interrupted runs of an upstream that has crashed. */
 static void
-link_runs(struct pgw_crash_quarantine *poison, uint64_t crash, GArray *crashed,
-          uint64_t now_us)
+count_interrupted_runs(struct pgw_crash_quarantine *quarantine, uint64_t crash,
+                       GArray *crashed, uint64_t now_us)
 {
-    for (guint i = poison->broken->len; i > 0; i--) {
-        const struct broken_run *run = broken_at(poison, i - 1);
+    for (guint i = quarantine->interrupted->len; i > 0; i--) {
+        const struct interrupted_run *run = interrupted_at(quarantine, i - 1);
         struct pgw_crashed_run item = {run->fingerprint, crash,
                                        now_us - run->at_us};
 
         if (run->crash != crash) {
             continue;
         }
-        if (count_crash(poison, &run->fingerprint, crash, run->at_us,
+        if (count_crash(quarantine, &run->fingerprint, crash, run->at_us,
                         now_us)) {
             g_array_append_val(crashed, item);
         }
-        g_array_remove_index(poison->broken, i - 1);
+        g_array_remove_index(quarantine->interrupted, i - 1);
     }
 }
 
 void
-pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *quarantine,
                                const char *upstream, uint64_t now_us)
 {
-    struct dead_upstream dead = {pgw_place_id_hash(upstream), now_us};
+    struct crashed_upstream crashed_upstream = {pgw_place_id_hash(upstream),
+                                                now_us};
     GArray *crashed;
 
-    forget_old(poison, now_us);
-    if (is_dead(poison, dead.crash)) {
+    drop_expired(quarantine, now_us);
+    if (has_crashed(quarantine, crashed_upstream.crash)) {
         return;
     }
-    g_array_append_val(poison->dead, dead);
+    g_array_append_val(quarantine->crashed_upstreams, crashed_upstream);
     crashed = g_array_new(FALSE, FALSE, sizeof(struct pgw_crashed_run));
-    link_runs(poison, dead.crash, crashed, now_us);
-    publish(poison, (const struct pgw_crashed_run *)(void *)crashed->data,
+    count_interrupted_runs(quarantine, crashed_upstream.crash, crashed,
+                           now_us);
+    publish(quarantine, (const struct pgw_crashed_run *)(void *)crashed->data,
             crashed->len);
     g_array_unref(crashed);
 }
 
-/* Return: whether anything counted against it. */
+/* Clears the counted crashes of a fingerprint. Returns whether there were any.
+ */
 static bool
-clear(struct pgw_crash_quarantine *poison,
-      const struct pgw_fingerprint *fingerprint)
+clear_record(struct pgw_crash_quarantine *quarantine,
+             const struct pgw_fingerprint *fingerprint)
 {
-    struct record *record = g_hash_table_lookup(poison->records, fingerprint);
+    struct record *record =
+        g_hash_table_lookup(quarantine->records, fingerprint);
     char name[PGW_FINGERPRINT_HEX];
 
-    if (record == NULL || record->valid == 0) {
+    if (record == NULL || record->counted == 0) {
         return false;
     }
-    record->valid = 0;
-    record->holds = 0;
-    record->held_until_us = 0;
+    record->counted = 0;
+    record->quarantine_count = 0;
+    record->quarantined_until_us = 0;
     pgw_fingerprint_print(name, fingerprint);
     pgw_log_info("poison_cleared", "fingerprint=%s", name);
     return true;
 }
 
 void
-pgw_crash_quarantine_clear(struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_clear(struct pgw_crash_quarantine *quarantine,
                            const struct pgw_fingerprint *fingerprint)
 {
     struct pgw_crashed_run crashed = {*fingerprint, 0, 0};
 
-    if (g_hash_table_size(poison->records) > 0 && clear(poison, fingerprint)) {
-        publish(poison, &crashed, 1);
+    if (g_hash_table_size(quarantine->records) > 0 &&
+        clear_record(quarantine, fingerprint)) {
+        publish(quarantine, &crashed, 1);
     }
 }
 
 void
-pgw_crash_quarantine_merge(struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_merge(struct pgw_crash_quarantine *quarantine,
                            const struct pgw_crashed_run *crashed, size_t count,
                            uint64_t now_us)
 {
     for (size_t i = 0; i < count; i++) {
         const struct pgw_fingerprint *fingerprint = &crashed[i].fingerprint;
-        uint64_t age = MIN(crashed[i].age_us, now_us);
-        bool is_new = crashed[i].crash == 0
-                          ? clear(poison, fingerprint)
-                          : count_crash(poison, fingerprint, crashed[i].crash,
-                                        now_us - age, now_us);
+        uint64_t age_us = MIN(crashed[i].age_us, now_us);
+        bool is_new =
+            crashed[i].crash == 0
+                ? clear_record(quarantine, fingerprint)
+                : count_crash(quarantine, fingerprint, crashed[i].crash,
+                              now_us - age_us, now_us);
 
         if (is_new) {
-            publish(poison, &crashed[i], 1);
+            publish(quarantine, &crashed[i], 1);
         }
     }
 }
 
 bool
-pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *quarantine,
                                const struct pgw_fingerprint *fingerprint,
                                uint64_t now_us)
 {
     const struct record *record =
-        g_hash_table_lookup(poison->records, fingerprint);
+        g_hash_table_lookup(quarantine->records, fingerprint);
 
 #ifdef PGW_DISABLE_POISON_HOLD
     return false;
 #endif
-    return record != NULL && now_us < record->held_until_us;
+    return record != NULL && now_us < record->quarantined_until_us;
 }
 
 GArray *
-pgw_crash_quarantine_list(const struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_list(const struct pgw_crash_quarantine *quarantine,
                           uint64_t now_us)
 {
     GArray *crashed =
@@ -415,11 +443,11 @@
     GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&iter, poison->records);
+    g_hash_table_iter_init(&iter, quarantine->records);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct record *record = value;
 
-        for (uint32_t i = record->count - record->valid; i < record->count;
+        for (uint32_t i = record->count - record->counted; i < record->count;
              i++) {
             struct pgw_crashed_run item = {record->fingerprint,
                                            record->crashes[i],
--- a/src/gateway/crash_quarantine.h
+++ b/src/gateway/crash_quarantine.h
@@ -7,25 +7,24 @@
 #include <stdint.h>
 
 /**
- * DOC: Requests that crash the upstreams that run them
+ * DOC: Quarantine of requests that crash upstreams
  *
- * Now and then a request crashes each upstream that begins to run it, and its
- * caller sends it again. An entry sees only connections that end; which of the
- * dozens of runs at an upstream brought it down, nobody can tell from one
- * crash. A fingerprint that was running in several crashes is held back; one
- * that ended well since is innocent.
+ * A faulty request may crash each upstream that starts to run it, and its
+ * caller resends it. An entry sees only interrupted connections. From one
+ * crash it cannot tell which of the dozens of runs at the upstream caused it.
+ * So a fingerprint that was running in several crashes is quarantined, and a
+ * completed run of the fingerprint clears its crashes.
  *
- * Pure state: nothing is sent here, time is passed in as monotonic
- * microseconds. Entries send each other what they count (&struct
- * pgw_crashed_run).
+ * Pure state without I/O; time is passed in as monotonic microseconds. Entries
+ * send each other the crashes that they count (&struct pgw_crashed_run).
  */
 
 /**
- * struct pgw_crashed_run - what entries exchange
- * @fingerprint: of the request
- * @crash: hash of the incarnation that crashed while running it; 0: it ended
- *   well, what was counted is void
- * @age_us: how long ago the run broke off
+ * struct pgw_crashed_run - a crashed or completed run, as entries exchange it
+ * @fingerprint: fingerprint of the request
+ * @crash: hash of the incarnation that crashed while running it; 0: the run
+ *   completed and clears the crashes counted so far
+ * @age_us: how long ago the run was interrupted
  */
 struct pgw_crashed_run {
     struct pgw_fingerprint fingerprint;
@@ -35,103 +34,110 @@
 
 /**
  * struct pgw_crash_quarantine_options - thresholds
- * @crashes: distinct incarnations after which a fingerprint is held back
- * @min_crash_gap_us: crashes of one fingerprint that lie closer together count
- * as one
- * @crash_match_us: a run that broke off and the end of its upstream belong
- * together when at most this long lies between them
- * @hold_us: how long it is held back; then one more crash is enough, and it is
- *   held twice as long
- * @keep_us: how long a fingerprint is remembered after its last crash, and the
- *   longest time that it is held back
- * @records_max: most fingerprints remembered
+ * @crashes: number of crashed incarnations after which a fingerprint is
+ *   quarantined
+ * @min_crash_gap_us: crashes of one fingerprint that are less than this apart
+ *   count as one
+ * @crash_match_us: an interrupted run is attributed to the crash of its
+ *   upstream if they are less than this apart
+ * @quarantine_us: length of the first quarantine; after it one more crash
+ *   starts the next one, twice as long
+ * @record_lifetime_us: how long a record is kept after its last crash; also
+ *   the longest quarantine
+ * @records_max: most fingerprints with a record
  */
 struct pgw_crash_quarantine_options {
     uint32_t crashes;
     uint64_t min_crash_gap_us;
     uint64_t crash_match_us;
-    uint64_t hold_us;
-    uint64_t keep_us;
+    uint64_t quarantine_us;
+    uint64_t record_lifetime_us;
     uint32_t records_max;
 };
 
-/* Crashes that a record remembers, those that are void included. */
+/* Most crashes kept in a record, cleared ones included. */
 #define PGW_CRASH_QUARANTINE_CRASHES_MAX 8
 
 /*
- * Three: with one more than two innocents that are sent again beside the
- * request that does the harm are hardly ever in three crashes without ending
- * well once. Eight seconds: a service without a sidecar lapses from the
- * platform's list after three heartbeats of 1.2 s, and the list is believed
- * after two to four seconds more. Half a second apart: a zone that loses its
- * power takes all upstreams of a service at once, with a request that many ask
- * for alike running at each. A minute, doubled up to ten: who is held back by
- * mistake is let through soon, and who is not costs a crash then. 4,096
- * records of some 200 bytes are below a megabyte.
+ * crashes: other requests that are resent beside the faulty one are hardly
+ * ever in three crashes without completing once. Two crashes are too few for
+ * that.
+ * min_crash_gap_us: a zone that loses power takes all upstreams of a service
+ * down at once, and a popular request may be running at each of them.
+ * crash_match_us: the line of a service without a sidecar expires after three
+ * heartbeats of 1.2 s, and the list is acted on two to four seconds later.
+ * quarantine_us, record_lifetime_us: a request quarantined by mistake runs
+ * again after a minute; a faulty one costs a crash then, so the time doubles,
+ * up to ten minutes.
+ * records_max: 4,096 records of some 200 bytes take less than a megabyte.
  */
 #define PGW_CRASH_QUARANTINE_OPTIONS_INIT                                     \
     {                                                                         \
         .crashes = 3, .min_crash_gap_us = G_USEC_PER_SEC / 2,                 \
         .crash_match_us = 8 * (uint64_t)G_USEC_PER_SEC,                       \
-        .hold_us = 60 * (uint64_t)G_USEC_PER_SEC,                             \
-        .keep_us = 600 * (uint64_t)G_USEC_PER_SEC, .records_max = 4096        \
+        .quarantine_us = 60 * (uint64_t)G_USEC_PER_SEC,                       \
+        .record_lifetime_us = 600 * (uint64_t)G_USEC_PER_SEC,                 \
+        .records_max = 4096                                                   \
     }
 
 struct pgw_crash_quarantine;
 
-/** pgw_crash_quarantine_new() - nothing is known */
+/** pgw_crash_quarantine_new() - create an empty quarantine */
 struct pgw_crash_quarantine *
 pgw_crash_quarantine_new(const struct pgw_crash_quarantine_options *options);
-void pgw_crash_quarantine_free(struct pgw_crash_quarantine *poison);
+void pgw_crash_quarantine_free(struct pgw_crash_quarantine *quarantine);
 
 /**
- * pgw_crash_quarantine_subscribe() - get what other entries have to know
- * @poison: the state
- * @on_crashed: gets @count items; NULL: nobody does
- * @context: handed to @on_crashed
+ * pgw_crash_quarantine_subscribe() - set the callback for runs that other
+ * entries have to learn of
+ * @quarantine: the state
+ * @on_crashed: called with @count runs; NULL: no callback
+ * @context: passed to @on_crashed
  */
 void pgw_crash_quarantine_subscribe(
-    struct pgw_crash_quarantine *poison,
+    struct pgw_crash_quarantine *quarantine,
     void (*on_crashed)(const struct pgw_crashed_run *crashed, size_t count,
                        void *context),
     void *context);
 
 /**
- * pgw_crash_quarantine_add_interrupted() - a run ended with its connection
- * @poison: the state
- * @fingerprint: of the request
+ * pgw_crash_quarantine_add_interrupted() - add a run whose connection broke
+ * @quarantine: the state
+ * @fingerprint: fingerprint of the request
  * @upstream: incarnation that ran it
  * @now_us: monotonic time
  */
 void
-pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *poison,
+pgw_crash_quarantine_add_interrupted(struct pgw_crash_quarantine *quarantine,
                                      const struct pgw_fingerprint *fingerprint,
                                      const char *upstream, uint64_t now_us);
 
-/** pgw_crash_quarantine_add_crash() - an incarnation is gone without having
- * left */
-void pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *poison,
+/** pgw_crash_quarantine_add_crash() - add an incarnation that ended without a
+ * drain */
+void pgw_crash_quarantine_add_crash(struct pgw_crash_quarantine *quarantine,
                                     const char *upstream, uint64_t now_us);
 
-/** pgw_crash_quarantine_clear() - a run had its whole answer */
-void pgw_crash_quarantine_clear(struct pgw_crash_quarantine *poison,
+/** pgw_crash_quarantine_clear() - clear the crashes of a fingerprint after a
+ * completed run */
+void pgw_crash_quarantine_clear(struct pgw_crash_quarantine *quarantine,
                                 const struct pgw_fingerprint *fingerprint);
 
-/** pgw_crash_quarantine_merge() - count what another entry sent; passed on if
- * it is new */
-void pgw_crash_quarantine_merge(struct pgw_crash_quarantine *poison,
+/** pgw_crash_quarantine_merge() - count runs that another entry sent; new ones
+ * are passed on to the subscriber */
+void pgw_crash_quarantine_merge(struct pgw_crash_quarantine *quarantine,
                                 const struct pgw_crashed_run *crashed,
                                 size_t count, uint64_t now_us);
 
-/** pgw_crash_quarantine_is_active() - the request would crash the next
- * upstream, too */
-bool pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *poison,
-                                    const struct pgw_fingerprint *fingerprint,
-                                    uint64_t now_us);
-
-/** pgw_crash_quarantine_list() - all that counts, of &struct pgw_crashed_run
- */
-GArray *pgw_crash_quarantine_list(const struct pgw_crash_quarantine *poison,
-                                  uint64_t now_us);
+/** pgw_crash_quarantine_is_active() - whether a fingerprint is quarantined */
+bool
+pgw_crash_quarantine_is_active(const struct pgw_crash_quarantine *quarantine,
+                               const struct pgw_fingerprint *fingerprint,
+                               uint64_t now_us);
+
+/** pgw_crash_quarantine_list() - all counted crashes, as &struct
+ * pgw_crashed_run; free with g_array_unref() */
+GArray *
+pgw_crash_quarantine_list(const struct pgw_crash_quarantine *quarantine,
+                          uint64_t now_us);
 
 #endif
--- a/src/gateway/crashed_runs.c
+++ b/src/gateway/crashed_runs.c
@@ -2,12 +2,12 @@
 #include "util/log.h"
 #include <string.h>
 
-/* Items of one frame: some 32 bytes each, far below PGW_FRAME_MAX. */
-#define ITEMS_MAX 1024
+/* Most runs in one frame: at some 32 bytes each far below PGW_FRAME_MAX. */
+#define RUNS_PER_FRAME_MAX 1024
 
 static void
-send_some(struct pgw_link *link, const struct pgw_crashed_run *crashed,
-          size_t count)
+send_frame(struct pgw_link *link, const struct pgw_crashed_run *crashed,
+           size_t count)
 {
     Pgw__CrashedRuns message = PGW__CRASHED_RUNS__INIT;
     Pgw__CrashedRun *items = g_new(Pgw__CrashedRun, count);
@@ -32,13 +32,13 @@
 pgw_crashed_runs_send(struct pgw_link *link,
                       const struct pgw_crashed_run *crashed, size_t count)
 {
-    for (size_t i = 0; i < count; i += ITEMS_MAX) {
-        send_some(link, crashed + i, MIN(count - i, ITEMS_MAX));
+    for (size_t i = 0; i < count; i += RUNS_PER_FRAME_MAX) {
+        send_frame(link, crashed + i, MIN(count - i, RUNS_PER_FRAME_MAX));
     }
 }
 
 void
-pgw_crashed_runs_receive(struct pgw_crash_quarantine *poison,
+pgw_crashed_runs_receive(struct pgw_crash_quarantine *quarantine,
                          const Pgw__CrashedRuns *message, uint64_t now_us)
 {
     for (size_t i = 0; i < message->n_runs; i++) {
@@ -55,6 +55,6 @@
         }
         memcpy(crashed.fingerprint.bytes, run->fingerprint.data,
                sizeof(crashed.fingerprint.bytes));
-        pgw_crash_quarantine_merge(poison, &crashed, 1, now_us);
+        pgw_crash_quarantine_merge(quarantine, &crashed, 1, now_us);
     }
 }
--- a/src/gateway/crashed_runs.h
+++ b/src/gateway/crashed_runs.h
@@ -4,18 +4,21 @@
 #include "gateway/crash_quarantine.h"
 #include "libparsleygw/link.h"
 
-/** pgw_crashed_runs_send() - send to a peer; nothing is sent for @count 0 */
+/** pgw_crashed_runs_send() - send runs to a peer; nothing is sent if @count is
+ * 0 */
 void pgw_crashed_runs_send(struct pgw_link *link,
                            const struct pgw_crashed_run *crashed,
                            size_t count);
 
 /**
- * pgw_crashed_runs_receive() - count what a peer sent
- * @poison: where it is counted
- * @message: what came; items that make no sense are logged and left out
+ * pgw_crashed_runs_receive() - add the runs in a peer's message to the
+ * quarantine
+ * @quarantine: the quarantine
+ * @message: the message; runs with a malformed fingerprint are logged and
+ *   ignored
  * @now_us: monotonic time
  */
-void pgw_crashed_runs_receive(struct pgw_crash_quarantine *poison,
+void pgw_crashed_runs_receive(struct pgw_crash_quarantine *quarantine,
                               const Pgw__CrashedRuns *message,
                               uint64_t now_us);
 
--- a/tests/property/prop_crash_quarantine.cc
+++ b/tests/property/prop_crash_quarantine.cc
@@ -1,7 +1,8 @@
-// Entries that tell each other of crashes and of good ends come to rest, in
-// whatever order the words arrive: each tells a crash once, and a good end only
-// where a crash counted. Seed 510 of the soak: two entries told each other the
-// same crash and the same good end some 200,000 times a second.
+// Entries that send each other crashes and completed runs must become quiet, in
+// whatever order the messages arrive: each entry passes on a crash once, and a
+// completed run only if it cleared a counted crash. Seed 510 of the soak: two
+// entries sent each other the same crash and the same completed run some
+// 200,000 times a second.
 #include "prop_support.h"
 extern "C" {
 #include "gateway/crash_quarantine.h"
@@ -19,19 +20,19 @@
 struct entry {
     fleet *all;
     unsigned index;
-    pgw_crash_quarantine *poison;
+    pgw_crash_quarantine *quarantine;
 };
 
-// Words on their way: to whom, and what.
-struct word {
+// A message in flight: its receiver and its content.
+struct message {
     unsigned to;
     pgw_crashed_run crashed;
 };
 
 struct fleet {
     entry list[entries];
-    std::deque<word> words;
-    uint64_t told = 0;
+    std::deque<message> messages;
+    uint64_t sent = 0;
 };
 
 void
@@ -42,8 +43,8 @@
     for (size_t i = 0; i < count; i++) {
         for (unsigned to = 0; to < entries; to++) {
             if (to != from->index) {
-                from->all->words.push_back({to, crashed[i]});
-                from->all->told++;
+                from->all->messages.push_back({to, crashed[i]});
+                from->all->sent++;
             }
         }
     }
@@ -52,10 +53,10 @@
 void
 deliver(fleet *all, size_t which, uint64_t now)
 {
-    word next = all->words[which];
+    message next = all->messages[which];
 
-    all->words.erase(all->words.begin() + (long)which);
-    pgw_crash_quarantine_merge(all->list[next.to].poison, &next.crashed, 1, now);
+    all->messages.erase(all->messages.begin() + (long)which);
+    pgw_crash_quarantine_merge(all->list[next.to].quarantine, &next.crashed, 1, now);
 }
 
 void
@@ -67,17 +68,17 @@
 
     switch (number / 64 % 4) {
     case 0:
-        pgw_crash_quarantine_add_interrupted(at->poison, &fingerprint, name, now);
+        pgw_crash_quarantine_add_interrupted(at->quarantine, &fingerprint, name, now);
         break;
     case 1:
-        pgw_crash_quarantine_add_crash(at->poison, name, now);
+        pgw_crash_quarantine_add_crash(at->quarantine, name, now);
         break;
     case 2:
-        pgw_crash_quarantine_clear(at->poison, &fingerprint);
+        pgw_crash_quarantine_clear(at->quarantine, &fingerprint);
         break;
     default:
-        if (!all->words.empty()) {
-            deliver(all, number % all->words.size(), now);
+        if (!all->messages.empty()) {
+            deliver(all, number % all->messages.size(), now);
         }
     }
 }
@@ -87,28 +88,28 @@
 int
 main()
 {
-    bool good = rc::check("words come to rest", [] {
+    bool good = rc::check("entries become quiet", [] {
         pgw_crash_quarantine_options options = PGW_CRASH_QUARANTINE_OPTIONS_INIT;
-        // A crash and a good end of each upstream and request, at each entry,
-        // told to each other one.
-        uint64_t most = 2 * 2 * upstreams * entries * (entries - 1);
+        // A crash and a completed run for each upstream and request, sent by
+        // each entry to every other one.
+        uint64_t sent_max = 2 * 2 * upstreams * entries * (entries - 1);
         uint64_t now = 20000000;
         fleet all;
 
         for (unsigned i = 0; i < entries; i++) {
             all.list[i] = {&all, i, pgw_crash_quarantine_new(&options)};
-            pgw_crash_quarantine_subscribe(all.list[i].poison, on_crashed, &all.list[i]);
+            pgw_crash_quarantine_subscribe(all.list[i].quarantine, on_crashed, &all.list[i]);
         }
         for (uint32_t number : random_script(300)) {
             act(&all, number, now);
             now += number % 3 == 0 ? step_us : 0;
         }
-        while (!all.words.empty() && all.told <= most) {
-            deliver(&all, all.told % all.words.size(), now);
+        while (!all.messages.empty() && all.sent <= sent_max) {
+            deliver(&all, all.sent % all.messages.size(), now);
         }
-        RC_ASSERT(all.told <= most);
+        RC_ASSERT(all.sent <= sent_max);
         for (entry &each : all.list) {
-            pgw_crash_quarantine_free(each.poison);
+            pgw_crash_quarantine_free(each.quarantine);
         }
     });
     return good ? 0 : 1;
--- a/tests/unit/test_crash_quarantine.c
+++ b/tests/unit/test_crash_quarantine.c
@@ -20,7 +20,7 @@
 }
 
 static struct pgw_fingerprint
-make(uint8_t number)
+make_fingerprint(uint8_t number)
 {
     struct pgw_fingerprint out = {{0}};
 
@@ -29,235 +29,259 @@
 }
 
 static struct pgw_crash_quarantine *
-poison_new(struct published *published)
+quarantine_new(struct published *published)
 {
     struct pgw_crash_quarantine_options options =
         PGW_CRASH_QUARANTINE_OPTIONS_INIT;
-    struct pgw_crash_quarantine *poison = pgw_crash_quarantine_new(&options);
+    struct pgw_crash_quarantine *quarantine =
+        pgw_crash_quarantine_new(&options);
 
     if (published != NULL) {
-        pgw_crash_quarantine_subscribe(poison, on_crashed, published);
+        pgw_crash_quarantine_subscribe(quarantine, on_crashed, published);
     }
-    return poison;
+    return quarantine;
 }
 
 static void
-crash(struct pgw_crash_quarantine *poison,
+crash(struct pgw_crash_quarantine *quarantine,
       const struct pgw_fingerprint *fingerprint, const char *upstream,
       uint64_t now_us)
 {
-    pgw_crash_quarantine_add_interrupted(poison, fingerprint, upstream,
+    pgw_crash_quarantine_add_interrupted(quarantine, fingerprint, upstream,
                                          now_us);
-    pgw_crash_quarantine_add_crash(poison, upstream, now_us + 100);
+    pgw_crash_quarantine_add_crash(quarantine, upstream, now_us + 100);
 }
 
 /*
- * One request crashes three engines, one after the other; another caller's
- * request was running beside it in two of the crashes. The first is held back
- * from then on, the other is not.
+ * A request crashes three engines, one after the other, while another caller's
+ * request is running beside it in two of the crashes. Only the first request
+ * is quarantined.
  */
 static void
-test_third_crash_holds(void)
+test_third_crash_quarantines(void)
 {
-    struct pgw_crash_quarantine *poison = poison_new(NULL);
-    struct pgw_fingerprint bad = make(1);
-    struct pgw_fingerprint innocent = make(2);
+    struct pgw_crash_quarantine *quarantine = quarantine_new(NULL);
+    struct pgw_fingerprint faulty = make_fingerprint(1);
+    struct pgw_fingerprint unrelated = make_fingerprint(2);
 
-    pgw_crash_quarantine_add_interrupted(poison, &innocent, "a", SECOND);
-    crash(poison, &bad, "a", SECOND);
-    pgw_crash_quarantine_add_interrupted(poison, &innocent, "b", 2 * SECOND);
-    crash(poison, &bad, "b", 2 * SECOND);
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, 2 * SECOND));
-    crash(poison, &bad, "c", 3 * SECOND);
-    g_assert_true(pgw_crash_quarantine_is_active(poison, &bad, 4 * SECOND));
+    pgw_crash_quarantine_add_interrupted(quarantine, &unrelated, "a", SECOND);
+    crash(quarantine, &faulty, "a", SECOND);
+    pgw_crash_quarantine_add_interrupted(quarantine, &unrelated, "b",
+                                         2 * SECOND);
+    crash(quarantine, &faulty, "b", 2 * SECOND);
     g_assert_false(
-        pgw_crash_quarantine_is_active(poison, &innocent, 4 * SECOND));
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, 604 * SECOND));
-    pgw_crash_quarantine_free(poison);
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 2 * SECOND));
+    crash(quarantine, &faulty, "c", 3 * SECOND);
+    g_assert_true(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 4 * SECOND));
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &unrelated, 4 * SECOND));
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 604 * SECOND));
+    pgw_crash_quarantine_free(quarantine);
 }
 
 /*
- * Connections break without a crash: an upstream that resets some of its
- * answers, or one whose end comes long after. Nothing is counted, and one
- * crash counts once, however often the request was running there.
+ * Connections break without a crash: an upstream resets some of its answers,
+ * or ends long after the connection. Such runs are not counted, and a crash
+ * counts once, however many runs of the request it interrupts.
  */
 static void
 test_only_crashes_count(void)
 {
-    struct pgw_crash_quarantine *poison = poison_new(NULL);
-    struct pgw_fingerprint bad = make(1);
+    struct pgw_crash_quarantine *quarantine = quarantine_new(NULL);
+    struct pgw_fingerprint faulty = make_fingerprint(1);
 
     for (unsigned i = 0; i < 9; i++) {
-        pgw_crash_quarantine_add_interrupted(poison, &bad, "a", SECOND + i);
+        pgw_crash_quarantine_add_interrupted(quarantine, &faulty, "a",
+                                             SECOND + i);
     }
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, SECOND));
-    pgw_crash_quarantine_add_crash(poison, "a", 2 * SECOND);
-    pgw_crash_quarantine_add_crash(poison, "a", 2 * SECOND);
-    pgw_crash_quarantine_add_interrupted(poison, &bad, "b", 3 * SECOND);
-    pgw_crash_quarantine_add_crash(poison, "b", 30 * SECOND);
-    pgw_crash_quarantine_add_interrupted(poison, &bad, "c", 31 * SECOND);
-    pgw_crash_quarantine_add_crash(poison, "c", 32 * SECOND);
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, 32 * SECOND));
-    pgw_crash_quarantine_free(poison);
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, SECOND));
+    pgw_crash_quarantine_add_crash(quarantine, "a", 2 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "a", 2 * SECOND);
+    pgw_crash_quarantine_add_interrupted(quarantine, &faulty, "b", 3 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "b", 30 * SECOND);
+    pgw_crash_quarantine_add_interrupted(quarantine, &faulty, "c",
+                                         31 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "c", 32 * SECOND);
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 32 * SECOND));
+    pgw_crash_quarantine_free(quarantine);
 }
 
 /*
- * All upstreams of a service lose their power at once. A request that many
- * callers ask for alike was running at each; that some are found dead seconds
- * later changes nothing. It is not held back.
+ * All upstreams of a service lose power at once, while a popular request is
+ * running at each of them. Some of the crashes are detected seconds later. The
+ * request must not be quarantined.
  */
 static void
-test_one_event(void)
+test_simultaneous_crashes_count_once(void)
 {
-    struct pgw_crash_quarantine *poison = poison_new(NULL);
-    struct pgw_fingerprint popular = make(1);
-    struct pgw_crashed_run far = {popular, 99, SECOND};
+    struct pgw_crash_quarantine *quarantine = quarantine_new(NULL);
+    struct pgw_fingerprint popular = make_fingerprint(1);
+    struct pgw_crashed_run from_other_entry = {popular, 99, SECOND};
 
-    pgw_crash_quarantine_add_interrupted(poison, &popular, "a", 2 * SECOND);
-    pgw_crash_quarantine_add_interrupted(poison, &popular, "b",
+    pgw_crash_quarantine_add_interrupted(quarantine, &popular, "a",
+                                         2 * SECOND);
+    pgw_crash_quarantine_add_interrupted(quarantine, &popular, "b",
                                          2 * SECOND + 1000);
-    pgw_crash_quarantine_add_interrupted(poison, &popular, "c",
+    pgw_crash_quarantine_add_interrupted(quarantine, &popular, "c",
                                          2 * SECOND + 400000);
-    pgw_crash_quarantine_add_crash(poison, "a", 2 * SECOND);
-    pgw_crash_quarantine_add_crash(poison, "b", 5 * SECOND);
-    pgw_crash_quarantine_add_crash(poison, "c", 8 * SECOND);
-    pgw_crash_quarantine_merge(poison, &far, 1, 3 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "a", 2 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "b", 5 * SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "c", 8 * SECOND);
+    pgw_crash_quarantine_merge(quarantine, &from_other_entry, 1, 3 * SECOND);
     g_assert_false(
-        pgw_crash_quarantine_is_active(poison, &popular, 8 * SECOND));
-    pgw_crash_quarantine_free(poison);
+        pgw_crash_quarantine_is_active(quarantine, &popular, 8 * SECOND));
+    pgw_crash_quarantine_free(quarantine);
 }
 
-/* It is let through after a minute, to be held back for two when it crashes
- * the next upstream as well. */
+/* The first quarantine ends after a minute; one more crash starts the next,
+ * which lasts two minutes. */
 static void
-test_held_longer_each_time(void)
+test_quarantine_doubles(void)
 {
-    struct pgw_crash_quarantine *poison = poison_new(NULL);
-    struct pgw_fingerprint bad = make(1);
+    struct pgw_crash_quarantine *quarantine = quarantine_new(NULL);
+    struct pgw_fingerprint faulty = make_fingerprint(1);
 
-    crash(poison, &bad, "a", SECOND);
-    crash(poison, &bad, "b", 2 * SECOND);
-    crash(poison, &bad, "c", 3 * SECOND);
-    g_assert_true(pgw_crash_quarantine_is_active(poison, &bad, 62 * SECOND));
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, 64 * SECOND));
-    crash(poison, &bad, "d", 64 * SECOND);
-    g_assert_true(pgw_crash_quarantine_is_active(poison, &bad, 183 * SECOND));
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &bad, 185 * SECOND));
-    pgw_crash_quarantine_free(poison);
+    crash(quarantine, &faulty, "a", SECOND);
+    crash(quarantine, &faulty, "b", 2 * SECOND);
+    crash(quarantine, &faulty, "c", 3 * SECOND);
+    g_assert_true(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 62 * SECOND));
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 64 * SECOND));
+    crash(quarantine, &faulty, "d", 64 * SECOND);
+    g_assert_true(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 183 * SECOND));
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &faulty, 185 * SECOND));
+    pgw_crash_quarantine_free(quarantine);
 }
 
-/* The word of the crash comes before the run's connection ends. */
+/* The crash is reported before the run's connection breaks. */
 static void
-test_crash_known_first(void)
+test_crash_before_interruption(void)
 {
     struct published published = {0};
-    struct pgw_crash_quarantine *poison = poison_new(&published);
-    struct pgw_fingerprint bad = make(1);
+    struct pgw_crash_quarantine *quarantine = quarantine_new(&published);
+    struct pgw_fingerprint faulty = make_fingerprint(1);
 
-    pgw_crash_quarantine_add_crash(poison, "a", SECOND);
+    pgw_crash_quarantine_add_crash(quarantine, "a", SECOND);
     g_assert_cmpuint(published.count, ==, 0);
-    pgw_crash_quarantine_add_interrupted(poison, &bad, "a", 2 * SECOND);
+    pgw_crash_quarantine_add_interrupted(quarantine, &faulty, "a", 2 * SECOND);
     g_assert_cmpuint(published.count, ==, 1);
-    pgw_crash_quarantine_free(poison);
+    pgw_crash_quarantine_free(quarantine);
 }
 
 /*
- * A request that many send alike was running in three crashes, at three
- * entries, and ends well at one of them. That one tells the others, and all of
- * them let it pass.
+ * A popular request was running in three crashes and then completes at one
+ * entry. That entry informs the others, and all of them end the quarantine.
  */
 static void
-test_good_end_clears(void)
+test_completed_run_clears(void)
 {
     struct published published = {0};
-    struct pgw_crash_quarantine *here = poison_new(&published);
-    struct pgw_crash_quarantine *there = poison_new(NULL);
-    struct pgw_fingerprint popular = make(1);
+    struct pgw_crash_quarantine *local = quarantine_new(&published);
+    struct pgw_crash_quarantine *remote = quarantine_new(NULL);
+    struct pgw_fingerprint popular = make_fingerprint(1);
 
     for (uint64_t i = 1; i <= 3; i++) {
         char name[] = {(char)('a' + i), '\0'};
 
         published.count = 0;
-        crash(here, &popular, name, i * SECOND);
-        pgw_crash_quarantine_merge(there, published.items, published.count,
+        crash(local, &popular, name, i * SECOND);
+        pgw_crash_quarantine_merge(remote, published.items, published.count,
                                    i * SECOND);
     }
-    g_assert_true(pgw_crash_quarantine_is_active(there, &popular, 3 * SECOND));
+    g_assert_true(
+        pgw_crash_quarantine_is_active(remote, &popular, 3 * SECOND));
     published.count = 0;
-    pgw_crash_quarantine_clear(here, &popular);
-    pgw_crash_quarantine_clear(here, &popular);
+    pgw_crash_quarantine_clear(local, &popular);
+    pgw_crash_quarantine_clear(local, &popular);
     g_assert_cmpuint(published.count, ==, 1);
-    pgw_crash_quarantine_merge(there, published.items, published.count,
+    pgw_crash_quarantine_merge(remote, published.items, published.count,
                                3 * SECOND);
-    g_assert_false(pgw_crash_quarantine_is_active(here, &popular, 3 * SECOND));
     g_assert_false(
-        pgw_crash_quarantine_is_active(there, &popular, 3 * SECOND));
-    pgw_crash_quarantine_free(here);
-    pgw_crash_quarantine_free(there);
+        pgw_crash_quarantine_is_active(local, &popular, 3 * SECOND));
+    g_assert_false(
+        pgw_crash_quarantine_is_active(remote, &popular, 3 * SECOND));
+    pgw_crash_quarantine_free(local);
+    pgw_crash_quarantine_free(remote);
 }
 
-/* What is known already is not passed on again: entries in a ring would tell
- * each other the same for ever. */
+/* A known crash is not passed on again: entries in a ring would send it to
+ * each other for ever. */
 static void
-test_told_once(void)
+test_published_once(void)
 {
     struct published published = {0};
-    struct pgw_crash_quarantine *poison = poison_new(&published);
-    struct pgw_crashed_run crashed = {make(1), 7, 0};
-    struct pgw_crashed_run clear = {make(1), 0, 0};
+    struct pgw_crash_quarantine *quarantine = quarantine_new(&published);
+    struct pgw_crashed_run crashed = {make_fingerprint(1), 7, 0};
+    struct pgw_crashed_run clear = {make_fingerprint(1), 0, 0};
     GArray *known;
 
-    pgw_crash_quarantine_merge(poison, &crashed, 1, SECOND);
-    pgw_crash_quarantine_merge(poison, &crashed, 1, SECOND);
+    pgw_crash_quarantine_merge(quarantine, &crashed, 1, SECOND);
+    pgw_crash_quarantine_merge(quarantine, &crashed, 1, SECOND);
     g_assert_cmpuint(published.count, ==, 1);
-    known = pgw_crash_quarantine_list(poison, SECOND);
+    known = pgw_crash_quarantine_list(quarantine, SECOND);
     g_assert_cmpuint(known->len, ==, 1);
     g_array_unref(known);
-    pgw_crash_quarantine_merge(poison, &clear, 1, SECOND);
-    pgw_crash_quarantine_merge(poison, &clear, 1, SECOND);
+    pgw_crash_quarantine_merge(quarantine, &clear, 1, SECOND);
+    pgw_crash_quarantine_merge(quarantine, &clear, 1, SECOND);
     g_assert_cmpuint(published.count, ==, 2);
-    pgw_crash_quarantine_free(poison);
+    pgw_crash_quarantine_free(quarantine);
 }
 
-/* Memory is bounded: what is beyond it is not counted until older records have
- * expired. */
+/* The number of records is limited: new fingerprints are not counted until
+ * older records have expired. */
 static void
-test_bounded(void)
+test_records_are_bounded(void)
 {
     struct pgw_crash_quarantine_options options =
         PGW_CRASH_QUARANTINE_OPTIONS_INIT;
-    struct pgw_crash_quarantine *poison;
-    struct pgw_fingerprint late = make(9);
+    struct pgw_crash_quarantine *quarantine;
+    struct pgw_fingerprint latecomer = make_fingerprint(9);
 
     options.records_max = 2;
-    poison = pgw_crash_quarantine_new(&options);
+    quarantine = pgw_crash_quarantine_new(&options);
     for (uint8_t i = 1; i < 4; i++) {
-        struct pgw_fingerprint each = make(i);
+        struct pgw_fingerprint each = make_fingerprint(i);
 
-        crash(poison, &each, "a", SECOND);
+        crash(quarantine, &each, "a", SECOND);
     }
-    crash(poison, &late, "b", 2 * SECOND);
-    crash(poison, &late, "c", 3 * SECOND);
-    crash(poison, &late, "d", 4 * SECOND);
-    g_assert_false(pgw_crash_quarantine_is_active(poison, &late, 4 * SECOND));
-    crash(poison, &late, "e", 900 * SECOND);
-    crash(poison, &late, "f", 901 * SECOND);
-    crash(poison, &late, "g", 902 * SECOND);
-    g_assert_true(pgw_crash_quarantine_is_active(poison, &late, 902 * SECOND));
-    pgw_crash_quarantine_free(poison);
+    crash(quarantine, &latecomer, "b", 2 * SECOND);
+    crash(quarantine, &latecomer, "c", 3 * SECOND);
+    crash(quarantine, &latecomer, "d", 4 * SECOND);
+    g_assert_false(
+        pgw_crash_quarantine_is_active(quarantine, &latecomer, 4 * SECOND));
+    crash(quarantine, &latecomer, "e", 900 * SECOND);
+    crash(quarantine, &latecomer, "f", 901 * SECOND);
+    crash(quarantine, &latecomer, "g", 902 * SECOND);
+    g_assert_true(
+        pgw_crash_quarantine_is_active(quarantine, &latecomer, 902 * SECOND));
+    pgw_crash_quarantine_free(quarantine);
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/poison/third_crash_holds", test_third_crash_holds);
-    g_test_add_func("/poison/only_crashes_count", test_only_crashes_count);
-    g_test_add_func("/poison/one_event", test_one_event);
-    g_test_add_func("/poison/held_longer", test_held_longer_each_time);
-    g_test_add_func("/poison/crash_known_first", test_crash_known_first);
-    g_test_add_func("/poison/good_end_clears", test_good_end_clears);
-    g_test_add_func("/poison/told_once", test_told_once);
-    g_test_add_func("/poison/bounded", test_bounded);
+    g_test_add_func("/crash_quarantine/third_crash_quarantines",
+                    test_third_crash_quarantines);
+    g_test_add_func("/crash_quarantine/only_crashes_count",
+                    test_only_crashes_count);
+    g_test_add_func("/crash_quarantine/simultaneous_crashes_count_once",
+                    test_simultaneous_crashes_count_once);
+    g_test_add_func("/crash_quarantine/length_doubles",
+                    test_quarantine_doubles);
+    g_test_add_func("/crash_quarantine/crash_before_interruption",
+                    test_crash_before_interruption);
+    g_test_add_func("/crash_quarantine/completed_run_clears",
+                    test_completed_run_clears);
+    g_test_add_func("/crash_quarantine/published_once", test_published_once);
+    g_test_add_func("/crash_quarantine/records_are_bounded",
+                    test_records_are_bounded);
     return g_test_run();
 }
