--- a/src/gateway/delisted.h
+++ b/src/gateway/delisted.h
@@ -4,22 +4,23 @@
 #include "gateway/upstream_table.h"
 
 /**
- * DOC: Upstreams that vanish from the list without having said that they leave
+ * DOC: Upstreams that vanish from the list without having announced a drain
  *
- * Failure: the list loses the lines of upstreams that live, because their
- * heartbeats did not reach it while its store was away. Symptom: all requests
- * are refused until the lines are written again. So such an upstream is used
- * for some time more, which is shorter than the one for which one that really
- * leaves goes on serving. The time runs for each from its own end: others that
- * vanish later don't prolong it.
+ * Failure: the list loses the lines of upstreams that are alive, because their
+ * heartbeats did not reach the store while it was down. Symptom: all requests
+ * are refused until the lines are written again. So a delisted upstream stays
+ * usable for a grace period. The period is shorter than the time for which an
+ * upstream that really drains goes on serving. It starts with the upstream's
+ * own delisting; a later delisting of others does not restart it.
  */
 
 /**
- * struct pgw_delisted_options - for how long a vanished upstream is used
- * @single_grace_us: when it is the only one or one of a few
- * @mass_grace_us: when more than a quarter vanished: the list may be wrong
- * @store_recovery_grace_us: when the store has just come back: living ones are
- * in the list again within two seconds
+ * struct pgw_delisted_options - grace periods
+ * @single_grace_us: if few upstreams are delisted
+ * @mass_grace_us: if more than a quarter of all upstreams are delisted, so
+ *   that the list may be wrong
+ * @store_recovery_grace_us: if the store has just recovered; upstreams that
+ *   are alive are listed again within two seconds
  */
 struct pgw_delisted_options {
     uint64_t single_grace_us;
@@ -28,22 +29,23 @@
 };
 
 /**
- * pgw_delisted_add() - an upstream is no longer in the list
- * @table: its table
- * @upstream: one that did not say that it leaves
- * @in_trouble: the store was away a moment ago
- * @options: times
+ * pgw_delisted_add() - start the grace period of an upstream that vanished
+ * from the list
+ * @table: table of the upstream
+ * @upstream: upstream that has not announced a drain
+ * @store_recovering: the store was down a moment ago
+ * @options: grace periods
  * @now_us: monotonic time
  */
 void pgw_delisted_add(struct pgw_upstream_table *table,
-                      struct pgw_upstream *upstream, bool in_trouble,
+                      struct pgw_upstream *upstream, bool store_recovering,
                       const struct pgw_delisted_options *options,
                       uint64_t now_us);
 
 /**
- * pgw_delisted_sweep() - remove those whose time is over
+ * pgw_delisted_sweep() - remove upstreams whose grace period has ended
  *
- * Return: whether there were any.
+ * Return: whether any were removed.
  */
 bool pgw_delisted_sweep(struct pgw_upstream_table *table, uint64_t now_us);
 
--- a/src/gateway/documents.c
+++ b/src/gateway/documents.c
@@ -34,7 +34,7 @@
 }
 
 static char *
-key_of(const char *kind, const char *name)
+make_key(const char *kind, const char *name)
 {
     return g_strconcat(kind, "/", name, NULL);
 }
@@ -43,33 +43,33 @@
 pgw_documents_put(struct pgw_documents *documents,
                   const struct pgw_document *document)
 {
-    char *key = key_of(document->kind, document->name);
-    struct pgw_document *known = g_hash_table_lookup(documents->by_key, key);
+    char *key = make_key(document->kind, document->name);
+    struct pgw_document *stored = g_hash_table_lookup(documents->by_key, key);
 
-    if (known != NULL && document->revision <= known->revision) {
+    if (stored != NULL && document->revision <= stored->revision) {
         g_free(key);
         return NULL;
     }
-    known = g_new0(struct pgw_document, 1);
-    known->kind = g_strdup(document->kind);
-    known->name = g_strdup(document->name);
-    known->revision = document->revision;
-    known->deleted = document->deleted;
-    known->body = document->deleted ? NULL : g_strdup(document->body);
-    g_hash_table_replace(documents->by_key, key, known);
-    return known;
+    stored = g_new0(struct pgw_document, 1);
+    stored->kind = g_strdup(document->kind);
+    stored->name = g_strdup(document->name);
+    stored->revision = document->revision;
+    stored->deleted = document->deleted;
+    stored->body = document->deleted ? NULL : g_strdup(document->body);
+    g_hash_table_replace(documents->by_key, key, stored);
+    return stored;
 }
 
 const struct pgw_document *
 pgw_documents_find(const struct pgw_documents *documents, const char *kind,
                    const char *name)
 {
-    char *key = key_of(kind, name);
-    const struct pgw_document *known =
+    char *key = make_key(kind, name);
+    const struct pgw_document *stored =
         g_hash_table_lookup(documents->by_key, key);
 
     g_free(key);
-    return known;
+    return stored;
 }
 
 GPtrArray *
@@ -91,7 +91,7 @@
 }
 
 static int
-oldest_first(const void *a, const void *b)
+compare_revisions(const void *a, const void *b)
 {
     const struct pgw_document *left = *(struct pgw_document *const *)a;
     const struct pgw_document *right = *(struct pgw_document *const *)b;
@@ -103,5 +103,5 @@
 void
 pgw_documents_sort(GPtrArray *list)
 {
-    g_ptr_array_sort(list, oldest_first);
+    g_ptr_array_sort(list, compare_revisions);
 }
--- a/src/gateway/documents.h
+++ b/src/gateway/documents.h
@@ -6,21 +6,21 @@
 #include <stdint.h>
 
 /**
- * DOC: Copies of the platform's objects that entries hold in common
+ * DOC: Replicas of the platform's objects, which all entries share
  *
- * Each object has a revision that only grows; a deployment whose store may
- * lose writes puts the count of that into its upper bits. Copies come from the
- * platform's store and from other entries, in any order and any number of
- * times; the highest revision of each wins. Deleted objects leave a mark, so
- * that a late copy does not bring them back.
+ * Each object has a revision that only increases. If a deployment's store may
+ * lose writes, the upper bits of its revisions count these losses. Copies come
+ * from the platform's store and from other entries, in any order and any
+ * number of times; the highest revision of each object wins. A deleted object
+ * leaves a tombstone, so that a late copy does not restore it.
  */
 
 /**
- * struct pgw_document - one object
- * @kind: its kind
- * @name: its name within the kind
- * @revision: of its last change, or of its deletion
- * @deleted: it is gone; @body is empty
+ * struct pgw_document - copy of an object
+ * @kind: kind of the object
+ * @name: name within the kind
+ * @revision: revision of the last change or of the deletion
+ * @deleted: the object was deleted; @body is NULL
  * @body: JSON text
  */
 struct pgw_document {
@@ -33,33 +33,35 @@
 
 struct pgw_documents;
 
-/** pgw_documents_new() - none */
+/** pgw_documents_new() - create an empty collection */
 struct pgw_documents *pgw_documents_new(void);
 void pgw_documents_free(struct pgw_documents *documents);
 
 /**
- * pgw_documents_put() - take one copy
+ * pgw_documents_put() - store a copy if it is newer than the stored one
  * @documents: the collection
- * @document: copied
+ * @document: the copy; not taken over
  *
- * Return: the stored copy if it was newer than what was known, else NULL.
+ * Return: the stored document, owned by the collection; NULL if @document is
+ * not newer.
  */
 const struct pgw_document *
 pgw_documents_put(struct pgw_documents *documents,
                   const struct pgw_document *document);
 
-/** pgw_documents_find() - a copy, NULL when never heard of */
+/** pgw_documents_find() - the stored copy or tombstone, NULL if there is none
+ */
 const struct pgw_document *
 pgw_documents_find(const struct pgw_documents *documents, const char *kind,
                    const char *name);
 
-/** pgw_documents_list() - all copies of a kind, or of all kinds with NULL;
- * deleted ones included; free the array with g_ptr_array_unref() */
+/** pgw_documents_list() - all documents of a kind, or of all kinds if @kind is
+ * NULL, tombstones included; free the array with g_ptr_array_unref() */
 GPtrArray *pgw_documents_list(const struct pgw_documents *documents,
                               const char *kind);
 
-/** pgw_documents_sort() - put a list of documents in the order of their
- * revisions, the oldest first */
+/** pgw_documents_sort() - sort a list of documents by revision, the oldest
+ * first */
 void pgw_documents_sort(GPtrArray *list);
 
 #endif
--- a/src/gateway/gossip.c
+++ b/src/gateway/gossip.c
@@ -6,21 +6,22 @@
 #include "util/random.h"
 #include <string.h>
 
-/* Seeds that do not answer are tried again after this time and up to twice as
- * long, so that a herd that starts together does not come in step. */
+/* Backoff before the next connection to a seed, plus up to as much again at
+ * random, so that entries that start together do not reconnect together. */
 #define RECONNECT_US 500000
-/* What changes within this time is announced together. */
-#define NEWS_US 150000
-/* A frame of copies is sent when it has so many bytes; with one more object of
- * the most that the store takes (1 MiB) it stays below PGW_FRAME_MAX. */
-#define FRAME_BYTES ((size_t)1 << 20)
-/* Kinds of objects that are passed on. */
+/* Changes within this time are advertised together. */
+#define ADVERTISE_DELAY_US 150000
+/* A frame of documents is sent once it has this size. With one more object of
+ * the largest size that the store accepts (1 MiB), it stays below
+ * PGW_FRAME_MAX. */
+#define FRAME_TARGET_BYTES ((size_t)1 << 20)
+/* Most kinds of objects that are passed on. */
 #define KINDS_MAX 8
 
 /**
- * struct revisions - how far each kind has come
+ * struct revisions - newest revision of each kind of object
  * @kinds: names, owned
- * @reached: newest revision of each
+ * @reached: newest revision of each of @kinds
  * @count: number of @kinds
  */
 struct revisions {
@@ -30,22 +31,22 @@
 };
 
 /**
- * struct peer - one connection to another entry
- * @seed: index of the seed that it leads to, -1: it came to us
- * @has: what it says that it has reached
- * @told: what it was told that we have reached
+ * struct peer - connection to another entry
+ * @seed: index of the seed that was connected to, -1: an accepted connection
+ * @received: revisions that the peer has advertised
+ * @advertised: revisions of this entry that were advertised to the peer
  */
 struct peer {
-    struct pgw_list in_mesh;
-    struct pgw_gossip *mesh;
+    struct pgw_list in_gossip;
+    struct pgw_gossip *gossip;
     struct pgw_link *link;
     int seed;
-    struct revisions has;
-    struct revisions told;
+    struct revisions received;
+    struct revisions advertised;
 };
 
 struct seed {
-    struct pgw_gossip *mesh;
+    struct pgw_gossip *gossip;
     struct pgw_address address;
     struct pgw_timer timer;
     int index;
@@ -55,9 +56,9 @@
     struct pgw_loop *loop;
     struct pgw_gossip_options options;
     struct pgw_documents *documents;
-    struct revisions reached;
-    struct pgw_timer news_timer;
-    struct pgw_timer ask_timer;
+    struct revisions own_revisions;
+    struct pgw_timer advertise_timer;
+    struct pgw_timer request_timer;
     struct pgw_listener *listener;
     struct pgw_list peers;
     struct seed *seeds;
@@ -68,7 +69,7 @@
 };
 
 static void
-fill_document(Pgw__Document *out, const struct pgw_document *document)
+encode_document(Pgw__Document *out, const struct pgw_document *document)
 {
     pgw__document__init(out);
     out->kind = document->kind;
@@ -89,7 +90,7 @@
     Pgw__Document **pointers = g_new0(Pgw__Document *, list->len);
 
     for (unsigned i = 0; i < list->len; i++) {
-        fill_document(&copies[i], g_ptr_array_index(list, i));
+        encode_document(&copies[i], g_ptr_array_index(list, i));
         pointers[i] = &copies[i];
     }
     message.n_documents = list->len;
@@ -100,7 +101,7 @@
 }
 
 static uint64_t
-reached(const struct revisions *revisions, const char *kind)
+revision_of_kind(const struct revisions *revisions, const char *kind)
 {
     for (size_t i = 0; i < revisions->count; i++) {
         if (strcmp(revisions->kinds[i], kind) == 0) {
@@ -111,7 +112,8 @@
 }
 
 static void
-raise_to(struct revisions *revisions, const char *kind, uint64_t revision)
+raise_revision(struct revisions *revisions, const char *kind,
+               uint64_t revision)
 {
     size_t i = 0;
 
@@ -139,7 +141,8 @@
 }
 
 static void
-send_news(struct pgw_link *link, const struct revisions *revisions, bool ask)
+send_revisions(struct pgw_link *link, const struct revisions *revisions,
+               bool request)
 {
     Pgw__News message = PGW__NEWS__INIT;
     Pgw__KindRevision kinds[KINDS_MAX];
@@ -153,105 +156,112 @@
     }
     message.n_kinds = revisions->count;
     message.kinds = pointers;
-    message.ask = ask;
+    message.ask = request;
     pgw_link_send(link, PGW_FRAME_NEWS, &message.base);
 }
 
-/* Tells a peer how far we are, unless it is as far or was told. */
+/* Advertises this entry's revisions, if one of them is newer than the peer's
+ * and was not advertised to the peer yet. */
 static void
-tell_peer(struct peer *peer)
+advertise_revisions(struct peer *peer)
 {
-    const struct revisions *own = &peer->mesh->reached;
-    bool news = false;
+    const struct revisions *own_revisions = &peer->gossip->own_revisions;
+    bool peer_is_behind = false;
 
-    for (size_t i = 0; i < own->count; i++) {
-        const char *kind = own->kinds[i];
+    for (size_t i = 0; i < own_revisions->count; i++) {
+        const char *kind = own_revisions->kinds[i];
 
-        if (own->reached[i] > reached(&peer->has, kind) &&
-            own->reached[i] > reached(&peer->told, kind)) {
-            news = true;
+        if (own_revisions->reached[i] >
+                revision_of_kind(&peer->received, kind) &&
+            own_revisions->reached[i] >
+                revision_of_kind(&peer->advertised, kind)) {
+            peer_is_behind = true;
         }
     }
-    if (!news) {
+    if (!peer_is_behind) {
         return;
     }
-    send_news(peer->link, own, false);
-    for (size_t i = 0; i < own->count; i++) {
-        raise_to(&peer->told, own->kinds[i], own->reached[i]);
+    send_revisions(peer->link, own_revisions, false);
+    for (size_t i = 0; i < own_revisions->count; i++) {
+        raise_revision(&peer->advertised, own_revisions->kinds[i],
+                       own_revisions->reached[i]);
     }
 }
 
 static void
-news_due(struct pgw_timer *timer)
+advertise_due(struct pgw_timer *timer)
 {
-    struct pgw_gossip *mesh =
-        pgw_container_of(timer, struct pgw_gossip, news_timer);
+    struct pgw_gossip *gossip =
+        pgw_container_of(timer, struct pgw_gossip, advertise_timer);
 
-    pgw_list_foreach (link, &mesh->peers) {
-        tell_peer(pgw_container_of(link, struct peer, in_mesh));
+    pgw_list_foreach (link, &gossip->peers) {
+        advertise_revisions(pgw_container_of(link, struct peer, in_gossip));
     }
 }
 
 static bool
 is_ahead(const struct peer *peer)
 {
-    for (size_t i = 0; i < peer->has.count; i++) {
-        if (peer->has.reached[i] >
-            reached(&peer->mesh->reached, peer->has.kinds[i])) {
+    for (size_t i = 0; i < peer->received.count; i++) {
+        if (peer->received.reached[i] >
+            revision_of_kind(&peer->gossip->own_revisions,
+                             peer->received.kinds[i])) {
             return true;
         }
     }
     return false;
 }
 
-/* Asks one peer that is ahead; if it does not answer, another one follows. */
+/* Requests documents from one peer that is ahead. Unless these arrive in time,
+ * the next peer is asked. */
 static void
-ask_due(struct pgw_timer *timer)
+request_due(struct pgw_timer *timer)
 {
-    struct pgw_gossip *mesh =
-        pgw_container_of(timer, struct pgw_gossip, ask_timer);
+    struct pgw_gossip *gossip =
+        pgw_container_of(timer, struct pgw_gossip, request_timer);
 
-    pgw_list_foreach (link, &mesh->peers) {
-        struct peer *peer = pgw_container_of(link, struct peer, in_mesh);
+    pgw_list_foreach (link, &gossip->peers) {
+        struct peer *peer = pgw_container_of(link, struct peer, in_gossip);
 
         if (!is_ahead(peer) || !pgw_link_is_open(peer->link)) {
             continue;
         }
         pgw_log_info("ask_peer", "seed=%d", peer->seed);
-        send_news(peer->link, &mesh->reached, true);
-        /* The one that was asked goes behind the others. */
-        pgw_list_remove(&peer->in_mesh);
-        pgw_list_append(&mesh->peers, &peer->in_mesh);
-        pgw_timer_start(mesh->loop, &mesh->ask_timer,
-                        mesh->options.request_delay_us);
+        send_revisions(peer->link, &gossip->own_revisions, true);
+        /* Moves the peer to the end, so that another one is asked next. */
+        pgw_list_remove(&peer->in_gossip);
+        pgw_list_append(&gossip->peers, &peer->in_gossip);
+        pgw_timer_start(gossip->loop, &gossip->request_timer,
+                        gossip->options.request_delay_us);
         return;
     }
 }
 
 static void
-take_document(struct pgw_gossip *mesh, const struct pgw_document *document)
+store_document(struct pgw_gossip *gossip, const struct pgw_document *document)
 {
     const struct pgw_document *stored =
-        pgw_documents_put(mesh->documents, document);
+        pgw_documents_put(gossip->documents, document);
 
     if (stored == NULL) {
         return;
     }
-    raise_to(&mesh->reached, stored->kind, stored->revision);
-    if (mesh->news_timer.position == 0) {
-        pgw_timer_start(mesh->loop, &mesh->news_timer, NEWS_US);
+    raise_revision(&gossip->own_revisions, stored->kind, stored->revision);
+    if (gossip->advertise_timer.position == 0) {
+        pgw_timer_start(gossip->loop, &gossip->advertise_timer,
+                        ADVERTISE_DELAY_US);
     }
-    mesh->options.on_document(stored, mesh->options.context);
+    gossip->options.on_document(stored, gossip->options.context);
 }
 
 void
-pgw_gossip_put(struct pgw_gossip *mesh, const struct pgw_document *document)
+pgw_gossip_put(struct pgw_gossip *gossip, const struct pgw_document *document)
 {
-    take_document(mesh, document);
+    store_document(gossip, document);
 }
 
 static void
-take_frame_document(struct peer *peer, const Pgw__Document *message)
+handle_document(struct peer *peer, const Pgw__Document *message)
 {
     char *body =
         g_strndup((const char *)message->body.data, message->body.len);
@@ -263,19 +273,19 @@
         .body = body,
     };
 
-    take_document(peer->mesh, &document);
+    store_document(peer->gossip, &document);
     g_free(body);
 }
 
 /*
- * Everything that is newer than what a peer has reached, the oldest first: a
- * peer that loses the connection half-way has reached just what it got, and
- * asks for the rest.
+ * Sends all documents newer than the peer's revisions, the oldest first. If
+ * the connection breaks half-way, the peer's newest revision matches the
+ * documents that it got, so that it requests the rest.
  */
 static void
-answer_peer(struct peer *peer, const struct revisions *since)
+send_newer_documents(struct peer *peer, const struct revisions *since)
 {
-    GPtrArray *all = pgw_documents_list(peer->mesh->documents, NULL);
+    GPtrArray *all = pgw_documents_list(peer->gossip->documents, NULL);
     GPtrArray *newer = g_ptr_array_new();
     size_t bytes = 0;
 
@@ -283,12 +293,12 @@
     for (unsigned i = 0; i < all->len; i++) {
         struct pgw_document *document = g_ptr_array_index(all, i);
 
-        if (document->revision <= reached(since, document->kind)) {
+        if (document->revision <= revision_of_kind(since, document->kind)) {
             continue;
         }
         g_ptr_array_add(newer, document);
         bytes += document->deleted ? 0 : strlen(document->body);
-        if (bytes >= FRAME_BYTES) {
+        if (bytes >= FRAME_TARGET_BYTES) {
             send_documents(peer->link, newer);
             g_ptr_array_set_size(newer, 0);
             bytes = 0;
@@ -302,61 +312,64 @@
 }
 
 static void
-take_news(struct peer *peer, const Pgw__News *news)
+handle_revisions(struct peer *peer, const Pgw__News *message)
 {
-    struct pgw_gossip *mesh = peer->mesh;
+    struct pgw_gossip *gossip = peer->gossip;
     struct revisions since = {0};
 
-    for (size_t i = 0; i < news->n_kinds; i++) {
-        raise_to(&peer->has, news->kinds[i]->kind, news->kinds[i]->revision);
-        raise_to(&since, news->kinds[i]->kind, news->kinds[i]->revision);
+    for (size_t i = 0; i < message->n_kinds; i++) {
+        raise_revision(&peer->received, message->kinds[i]->kind,
+                       message->kinds[i]->revision);
+        raise_revision(&since, message->kinds[i]->kind,
+                       message->kinds[i]->revision);
     }
-    if (news->ask) {
-        answer_peer(peer, &since);
+    if (message->ask) {
+        send_newer_documents(peer, &since);
     }
-    else if (is_ahead(peer) && mesh->ask_timer.position == 0) {
-        pgw_timer_start(
-            mesh->loop, &mesh->ask_timer,
-            mesh->reached.count == 0 ? 0 : mesh->options.request_delay_us);
+    else if (is_ahead(peer) && gossip->request_timer.position == 0) {
+        pgw_timer_start(gossip->loop, &gossip->request_timer,
+                        gossip->own_revisions.count == 0
+                            ? 0
+                            : gossip->options.request_delay_us);
     }
     revisions_clear(&since);
 }
 
 static void
-take_crashed_runs(struct peer *peer, const Pgw__CrashedRuns *message)
+handle_crashed_runs(struct peer *peer, const Pgw__CrashedRuns *message)
 {
-    if (peer->mesh->options.poison != NULL) {
-        pgw_crashed_runs_receive(peer->mesh->options.poison, message,
+    if (peer->gossip->options.quarantine != NULL) {
+        pgw_crashed_runs_receive(peer->gossip->options.quarantine, message,
                                  pgw_now_us());
     }
 }
 
-/* To all peers, also to the one that it came from: that one knows it already
- * and does not pass it on. */
+/* Sends runs to all peers, including the one that they came from, which has
+ * counted them already and does not pass them on. */
 static void
 on_crashed_runs(const struct pgw_crashed_run *runs, size_t count,
                 void *context)
 {
-    struct pgw_gossip *mesh = context;
+    struct pgw_gossip *gossip = context;
 
-    pgw_list_foreach (link, &mesh->peers) {
-        struct peer *peer = pgw_container_of(link, struct peer, in_mesh);
+    pgw_list_foreach (link, &gossip->peers) {
+        struct peer *peer = pgw_container_of(link, struct peer, in_gossip);
 
         pgw_crashed_runs_send(peer->link, runs, count);
     }
 }
 
-/* A peer that is new, or was cut off, gets everything that is known. */
+/* Sends all counted crashes to a peer that has connected or reconnected. */
 static void
-send_known_crashes(struct peer *peer)
+send_all_crashes(struct peer *peer)
 {
     GArray *known;
 
-    if (peer->mesh->options.poison == NULL) {
+    if (peer->gossip->options.quarantine == NULL) {
         return;
     }
-    known =
-        pgw_crash_quarantine_list(peer->mesh->options.poison, pgw_now_us());
+    known = pgw_crash_quarantine_list(peer->gossip->options.quarantine,
+                                      pgw_now_us());
     pgw_crashed_runs_send(peer->link,
                           (const struct pgw_crashed_run *)(void *)known->data,
                           known->len);
@@ -372,14 +385,14 @@
         const Pgw__Documents *documents = (const Pgw__Documents *)message;
 
         for (size_t i = 0; i < documents->n_documents; i++) {
-            take_frame_document(context, documents->documents[i]);
+            handle_document(context, documents->documents[i]);
         }
     }
     else if (type == PGW_FRAME_NEWS) {
-        take_news(context, (const Pgw__News *)message);
+        handle_revisions(context, (const Pgw__News *)message);
     }
     else if (type == PGW_FRAME_CRASHED_RUNS) {
-        take_crashed_runs(context, (const Pgw__CrashedRuns *)message);
+        handle_crashed_runs(context, (const Pgw__CrashedRuns *)message);
     }
     return false;
 }
@@ -387,7 +400,7 @@
 static void
 start_reconnect(struct seed *seed)
 {
-    pgw_timer_start(seed->mesh->loop, &seed->timer,
+    pgw_timer_start(seed->gossip->loop, &seed->timer,
                     RECONNECT_US + pgw_random_u64() % RECONNECT_US);
 }
 
@@ -395,17 +408,17 @@
 on_closed(struct pgw_link *link, const GError *error, void *context)
 {
     struct peer *peer = context;
-    struct pgw_gossip *mesh = peer->mesh;
+    struct pgw_gossip *gossip = peer->gossip;
 
     (void)link;
     pgw_log_info("entry_link_lost", "seed=%d reason=%s", peer->seed,
                  error == NULL ? "closed" : error->message);
-    if (peer->seed >= 0 && !mesh->closing) {
-        start_reconnect(&mesh->seeds[peer->seed]);
+    if (peer->seed >= 0 && !gossip->closing) {
+        start_reconnect(&gossip->seeds[peer->seed]);
     }
-    pgw_list_remove(&peer->in_mesh);
-    revisions_clear(&peer->has);
-    revisions_clear(&peer->told);
+    pgw_list_remove(&peer->in_gossip);
+    revisions_clear(&peer->received);
+    revisions_clear(&peer->advertised);
     g_free(peer);
 }
 
@@ -417,21 +430,21 @@
 static void
 add_peer(struct peer *peer)
 {
-    pgw_list_append(&peer->mesh->peers, &peer->in_mesh);
-    tell_peer(peer);
-    send_known_crashes(peer);
+    pgw_list_append(&peer->gossip->peers, &peer->in_gossip);
+    advertise_revisions(peer);
+    send_all_crashes(peer);
 }
 
 static void
 on_accept(int fd, void *context)
 {
-    struct pgw_gossip *mesh = context;
+    struct pgw_gossip *gossip = context;
     struct peer *peer = g_new0(struct peer, 1);
     GError *error = NULL;
 
-    peer->mesh = mesh;
+    peer->gossip = gossip;
     peer->seed = -1;
-    peer->link = pgw_link_accept(mesh->loop, fd, &link_ops, peer, &error);
+    peer->link = pgw_link_accept(gossip->loop, fd, &link_ops, peer, &error);
     if (peer->link == NULL) {
         pgw_log_warning("entry_link", "reason=%s", error->message);
         g_error_free(error);
@@ -448,10 +461,10 @@
     struct peer *peer = g_new0(struct peer, 1);
     GError *error = NULL;
 
-    peer->mesh = seed->mesh;
+    peer->gossip = seed->gossip;
     peer->seed = seed->index;
-    peer->link = pgw_link_connect(seed->mesh->loop, &seed->address, &link_ops,
-                                  peer, &error);
+    peer->link = pgw_link_connect(seed->gossip->loop, &seed->address,
+                                  &link_ops, peer, &error);
     if (peer->link == NULL) {
         pgw_log_warning("entry_link", "seed=%d reason=%s", seed->index,
                         error->message);
@@ -464,25 +477,25 @@
 }
 
 static void
-add_seeds(struct pgw_gossip *mesh)
+add_seeds(struct pgw_gossip *gossip)
 {
-    char own[PGW_ADDRESS_TEXT_SIZE];
+    char own_address[PGW_ADDRESS_TEXT_SIZE];
     char name[PGW_ADDRESS_TEXT_SIZE];
 
-    pgw_address_format(own, &mesh->options.listen);
-    mesh->seeds = g_new0(struct seed, mesh->options.seed_count + 1);
-    for (size_t i = 0; i < mesh->options.seed_count; i++) {
-        struct seed *seed = &mesh->seeds[mesh->seed_count];
+    pgw_address_format(own_address, &gossip->options.listen);
+    gossip->seeds = g_new0(struct seed, gossip->options.seed_count + 1);
+    for (size_t i = 0; i < gossip->options.seed_count; i++) {
+        struct seed *seed = &gossip->seeds[gossip->seed_count];
 
-        pgw_address_format(name, &mesh->options.seeds[i]);
-        if (strcmp(name, own) == 0) {
+        pgw_address_format(name, &gossip->options.seeds[i]);
+        if (strcmp(name, own_address) == 0) {
             continue;
         }
-        seed->mesh = mesh;
-        seed->address = mesh->options.seeds[i];
-        seed->index = (int)mesh->seed_count++;
+        seed->gossip = gossip;
+        seed->address = gossip->options.seeds[i];
+        seed->index = (int)gossip->seed_count++;
         seed->timer.on_due = connect_seed;
-        pgw_timer_start(mesh->loop, &seed->timer, 0);
+        pgw_timer_start(gossip->loop, &seed->timer, 0);
     }
 }
 
@@ -490,63 +503,64 @@
 pgw_gossip_new(struct pgw_loop *loop, const struct pgw_gossip_options *options,
                GError **error)
 {
-    struct pgw_gossip *mesh = g_new0(struct pgw_gossip, 1);
-
-    mesh->loop = loop;
-    mesh->options = *options;
-    pgw_list_init(&mesh->peers);
-    mesh->documents = pgw_documents_new();
-    mesh->news_timer.on_due = news_due;
-    mesh->ask_timer.on_due = ask_due;
-    mesh->listener =
-        pgw_listener_new(loop, &options->listen, on_accept, mesh, error);
-    if (mesh->listener == NULL) {
-        pgw_documents_free(mesh->documents);
-        g_free(mesh);
+    struct pgw_gossip *gossip = g_new0(struct pgw_gossip, 1);
+
+    gossip->loop = loop;
+    gossip->options = *options;
+    pgw_list_init(&gossip->peers);
+    gossip->documents = pgw_documents_new();
+    gossip->advertise_timer.on_due = advertise_due;
+    gossip->request_timer.on_due = request_due;
+    gossip->listener =
+        pgw_listener_new(loop, &options->listen, on_accept, gossip, error);
+    if (gossip->listener == NULL) {
+        pgw_documents_free(gossip->documents);
+        g_free(gossip);
         return NULL;
     }
-    if (options->poison != NULL) {
-        pgw_crash_quarantine_subscribe(options->poison, on_crashed_runs, mesh);
+    if (options->quarantine != NULL) {
+        pgw_crash_quarantine_subscribe(options->quarantine, on_crashed_runs,
+                                       gossip);
     }
-    mesh->instance = g_strdup(options->instance);
-    mesh->zone = g_strdup(options->zone);
-    add_seeds(mesh);
-    return mesh;
+    gossip->instance = g_strdup(options->instance);
+    gossip->zone = g_strdup(options->zone);
+    add_seeds(gossip);
+    return gossip;
 }
 
 void
-pgw_gossip_free(struct pgw_gossip *mesh)
+pgw_gossip_free(struct pgw_gossip *gossip)
 {
-    mesh->closing = true;
-    if (mesh->options.poison != NULL) {
-        pgw_crash_quarantine_subscribe(mesh->options.poison, NULL, NULL);
-    }
-    pgw_list_foreach_safe (link, &mesh->peers) {
-        pgw_link_close(pgw_container_of(link, struct peer, in_mesh)->link);
-    }
-    pgw_loop_run_tasks(mesh->loop);
-    for (size_t i = 0; i < mesh->seed_count; i++) {
-        pgw_timer_stop(mesh->loop, &mesh->seeds[i].timer);
-    }
-    pgw_timer_stop(mesh->loop, &mesh->news_timer);
-    pgw_timer_stop(mesh->loop, &mesh->ask_timer);
-    pgw_listener_free(mesh->listener);
-    pgw_documents_free(mesh->documents);
-    revisions_clear(&mesh->reached);
-    g_free(mesh->seeds);
-    g_free(mesh->instance);
-    g_free(mesh->zone);
-    g_free(mesh);
+    gossip->closing = true;
+    if (gossip->options.quarantine != NULL) {
+        pgw_crash_quarantine_subscribe(gossip->options.quarantine, NULL, NULL);
+    }
+    pgw_list_foreach_safe (link, &gossip->peers) {
+        pgw_link_close(pgw_container_of(link, struct peer, in_gossip)->link);
+    }
+    pgw_loop_run_tasks(gossip->loop);
+    for (size_t i = 0; i < gossip->seed_count; i++) {
+        pgw_timer_stop(gossip->loop, &gossip->seeds[i].timer);
+    }
+    pgw_timer_stop(gossip->loop, &gossip->advertise_timer);
+    pgw_timer_stop(gossip->loop, &gossip->request_timer);
+    pgw_listener_free(gossip->listener);
+    pgw_documents_free(gossip->documents);
+    revisions_clear(&gossip->own_revisions);
+    g_free(gossip->seeds);
+    g_free(gossip->instance);
+    g_free(gossip->zone);
+    g_free(gossip);
 }
 
 const struct pgw_documents *
-pgw_gossip_documents(const struct pgw_gossip *mesh)
+pgw_gossip_documents(const struct pgw_gossip *gossip)
 {
-    return mesh->documents;
+    return gossip->documents;
 }
 
 uint16_t
-pgw_gossip_port(const struct pgw_gossip *mesh)
+pgw_gossip_port(const struct pgw_gossip *gossip)
 {
-    return pgw_listener_port(mesh->listener);
+    return pgw_listener_port(gossip->listener);
 }
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -7,34 +7,35 @@
 #include "util/loop.h"
 
 /**
- * DOC: Entries that tell each other the platform's news
+ * DOC: Gossip between entries about the platform's objects
  *
- * Each entry connects to the few seeds that its settings name. Entries say
- * which revision of each kind they have reached, and who stays behind asks for
- * what it lacks. An entry that the platform's store turns away, or that starts
- * while the store is down, so learns of configurations, revoked keys and
- * leaving upstreams from the others; one that hears from the store itself asks
- * for nothing, so that copies are not sent twice. Nothing is decided here:
- * copies are compared by the platform's own revisions. On the same connections
- * go the crashes that each entry has seen (&struct pgw_crash_quarantine): a
- * request that brings engines down comes to another entry each time.
+ * Each entry connects to the few seeds in its settings. Entries advertise the
+ * newest revision that they have of each kind, and an entry with an older one
+ * requests the documents that it lacks. So an entry that the platform's store
+ * refuses, or that starts while the store is down, still learns of
+ * configurations, revoked keys and leaving upstreams. An entry that gets them
+ * from the store in time requests nothing, so documents are not sent twice.
+ * Gossip makes no decisions: the platform's own revisions order the documents.
+ *
+ * The same connections carry the crashes that each entry counts (&struct
+ * pgw_crash_quarantine), since a request that crashes engines may reach
+ * another entry with each retry.
  */
 
 struct pgw_gossip;
 
 /**
  * struct pgw_gossip_options - settings
- * @listen: where other entries connect
- * @seeds: addresses to connect to; its own is left out
+ * @listen: address on which other entries connect
+ * @seeds: addresses to connect to; the entry's own address is skipped
  * @seed_count: number of @seeds
  * @instance: name of this process
- * @zone: its availability zone
- * @request_delay_us: who knows less than a peer waits so long for the
- * platform's store before it asks that peer
- * @on_document: a newer copy came, from whichever side
- * @context: handed to @on_document
- * @poison: what is known of requests that crash upstreams, kept alike on all
- *   entries; NULL: none
+ * @zone: availability zone of this process
+ * @request_delay_us: how long an entry with older revisions than a peer waits
+ *   for the platform's store before it requests documents from the peer
+ * @on_document: called with each newer document, from the store or a peer
+ * @context: passed to @on_document
+ * @quarantine: crash quarantine whose crashes all entries share; NULL: none
  */
 struct pgw_gossip_options {
     struct pgw_address listen;
@@ -45,24 +46,25 @@
     uint64_t request_delay_us;
     void (*on_document)(const struct pgw_document *document, void *context);
     void *context;
-    struct pgw_crash_quarantine *poison;
+    struct pgw_crash_quarantine *quarantine;
 };
 
-/** pgw_gossip_new() - listen and start connecting; %PGW_ERROR_IO */
+/** pgw_gossip_new() - listen and start to connect to seeds; fails with
+ * %PGW_ERROR_IO */
 struct pgw_gossip *pgw_gossip_new(struct pgw_loop *loop,
                                   const struct pgw_gossip_options *options,
                                   GError **error);
-void pgw_gossip_free(struct pgw_gossip *mesh);
+void pgw_gossip_free(struct pgw_gossip *gossip);
 
-/** pgw_gossip_put() - news from the platform's store */
-void pgw_gossip_put(struct pgw_gossip *mesh,
+/** pgw_gossip_put() - add a document from the platform's store */
+void pgw_gossip_put(struct pgw_gossip *gossip,
                     const struct pgw_document *document);
 
-/** pgw_gossip_documents() - what is known */
+/** pgw_gossip_documents() - all known documents */
 const struct pgw_documents *
-pgw_gossip_documents(const struct pgw_gossip *mesh);
+pgw_gossip_documents(const struct pgw_gossip *gossip);
 
-/** pgw_gossip_port() - the port that it listens on */
-uint16_t pgw_gossip_port(const struct pgw_gossip *mesh);
+/** pgw_gossip_port() - the port on which other entries connect */
+uint16_t pgw_gossip_port(const struct pgw_gossip *gossip);
 
 #endif
--- a/tests/property/prop_lease.cc
+++ b/tests/property/prop_lease.cc
@@ -162,28 +162,27 @@
 int
 main()
 {
-    bool good =
-        rc::check("acts of two holders are at least the pause apart", [] {
-            pgw_lease_options options = PGW_LEASE_OPTIONS_INIT;
-            bool held = false;
-            simulation sim;
+    bool good = rc::check("acts of two holders are a pause apart", [] {
+        pgw_lease_options options = PGW_LEASE_OPTIONS_INIT;
+        bool held = false;
+        simulation sim;
 
-            for (unsigned i = 0; i < processes; i++) {
-                pgw_lease_init(&sim.list[i], &options);
-                pgw_lease_set_wanted(&sim.list[i], true);
-            }
-            for (uint32_t number : random_script(1200)) {
-                tick(&sim, number, false, options);
-            }
-            RC_ASSERT(!sim.violated);
-            for (unsigned i = 0; i < 600; i++) {
-                tick(&sim, 1, true, options);
-            }
-            for (const pgw_lease &lease : sim.list) {
-                held |= pgw_lease_holds(&lease, sim.now);
-            }
-            RC_ASSERT(!sim.violated);
-            RC_ASSERT(held);
-        });
+        for (unsigned i = 0; i < processes; i++) {
+            pgw_lease_init(&sim.list[i], &options);
+            pgw_lease_set_wanted(&sim.list[i], true);
+        }
+        for (uint32_t number : random_script(1200)) {
+            tick(&sim, number, false, options);
+        }
+        RC_ASSERT(!sim.violated);
+        for (unsigned i = 0; i < 600; i++) {
+            tick(&sim, 1, true, options);
+        }
+        for (const pgw_lease &lease : sim.list) {
+            held |= pgw_lease_holds(&lease, sim.now);
+        }
+        RC_ASSERT(!sim.violated);
+        RC_ASSERT(held);
+    });
     return good ? 0 : 1;
 }
--- a/tests/unit/test_delisted.c
+++ b/tests/unit/test_delisted.c
@@ -28,12 +28,13 @@
 }
 
 /*
- * The upstreams of a pool are replaced one after the other, one a second, and
- * vanish without having said that they leave. Each is used for one second
- * more, however many follow: requests that reach one later find it gone.
+ * The upstreams of a pool are replaced one after the other, about one a
+ * second, and vanish without having announced a drain. Each stays usable for
+ * one second, however many follow: it no longer exists after that, and
+ * requests sent to it would fail.
  */
 static void
-test_each_has_its_own_time(void)
+test_grace_periods_are_independent(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
 
@@ -57,11 +58,11 @@
 }
 
 /*
- * The store comes back and its list lacks the upstreams one after the other.
- * All are used until living ones are in the list again, and no longer.
+ * The store recovers, and its list loses the upstreams one after the other.
+ * All stay usable until those that are alive are listed again, and no longer.
  */
 static void
-test_store_is_back(void)
+test_store_recovers(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *first = put(table, 0);
@@ -78,10 +79,10 @@
     pgw_upstream_table_free(table);
 }
 
-/* A third of the pool is gone at once: used longer, but each for no more than
- * the time for many. */
+/* A third of the pool is delisted at once. The grace period is longer, but no
+ * longer than the one for mass delisting. */
 static void
-test_many_at_once(void)
+test_mass_delisting(void)
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstreams[6];
@@ -103,8 +104,9 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/lapse/own_time", test_each_has_its_own_time);
-    g_test_add_func("/lapse/store_is_back", test_store_is_back);
-    g_test_add_func("/lapse/many", test_many_at_once);
+    g_test_add_func("/delisted/grace_periods_are_independent",
+                    test_grace_periods_are_independent);
+    g_test_add_func("/delisted/store_recovers", test_store_recovers);
+    g_test_add_func("/delisted/mass_delisting", test_mass_delisting);
     return g_test_run();
 }
--- a/tests/unit/test_documents.c
+++ b/tests/unit/test_documents.c
@@ -15,8 +15,8 @@
     return pgw_documents_put(documents, &document) != NULL;
 }
 
-/* Copies come twice and in any order; the highest revision wins, and what was
- * deleted does not come back with a late copy. */
+/* Copies arrive twice and in any order. The highest revision wins, and a late
+ * copy does not restore a deleted object. */
 static void
 test_highest_revision_wins(void)
 {
@@ -35,7 +35,7 @@
 }
 
 static void
-test_list(void)
+test_list_by_kind(void)
 {
     struct pgw_documents *documents = pgw_documents_new();
     GPtrArray *list;
@@ -54,7 +54,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/documents/revisions", test_highest_revision_wins);
-    g_test_add_func("/documents/list", test_list);
+    g_test_add_func("/documents/highest_revision_wins",
+                    test_highest_revision_wins);
+    g_test_add_func("/documents/list_by_kind", test_list_by_kind);
     return g_test_run();
 }
