--- a/bench/placement/sidecar.c
+++ b/bench/placement/sidecar.c
@@ -85,8 +85,8 @@
     uint64_t now = engine->sim->now_us;
 
     if (is_news(engine) &&
-        pgw_report_budget_has(&engine->budget,
-                              far_entries(&engine->sim->options), now)) {
+        pgw_report_budget_allows_report(
+            &engine->budget, far_entries(&engine->sim->options), now)) {
         engine->told = current_load(engine);
         engine->told_us = now;
         pgw_report_budget_spend(&engine->budget,
--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -153,7 +153,7 @@
 }
 
 unsigned
-pgw_engine_sidecar_entries(const struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *guard)
 {
     unsigned count = 0;
 
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -262,7 +262,7 @@
 
     drop_ask(quota, exchange);
     if (decide_alone(quota, workspace_of(quota, exchange), exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -291,7 +291,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
     if (pgw_quota_admit(exchange->gateway->quota, exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -397,7 +397,7 @@
     pgw_timer_stop(quota->gateway->loop, &exchange->attempt_timer);
     if (answer->granted > 0) {
         exchange->quota_spent = exchange->quota_cost;
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
     else {
         refuse(workspace, exchange, answer->retry_ms);
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -110,7 +110,7 @@
  * @exchange: a request that has just begun
  *
  * Return: false when it was refused, and is freed, or when its owner is asked:
- * pgw_exchange_place() or pgw_exchange_refuse() follow then.
+ * pgw_exchange_dispatch() or pgw_exchange_refuse() follow then.
  */
 bool pgw_quota_admit(struct pgw_quota *quota, struct pgw_exchange *exchange);
 
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -132,7 +132,7 @@
             pgw_gateway_crash_quarantine(guard->links->gateway), upstream->id,
             now);
     }
-    pgw_gateway_pump(guard->links->gateway);
+    pgw_gateway_dispatch_queued(guard->links->gateway);
 }
 
 static bool
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -75,14 +75,14 @@
     }
     for (size_t i = 0; i < upstream->model_count; i++) {
         const char *model = upstream->models[i].model;
-        uint64_t version = pgw_gateway_weights(links->gateway, model);
+        uint64_t version = pgw_gateway_target_version(links->gateway, model);
         uint64_t left;
 
         if (version == 0) {
             continue;
         }
-        left = pgw_gateway_weights_left(links->gateway, model,
-                                        soon_running(upstream, i, version));
+        left = pgw_gateway_weights_usable_for_us(
+            links->gateway, model, soon_running(upstream, i, version));
         tell_weights(
             guard, upstream, model, version,
             left == UINT64_MAX
@@ -218,10 +218,10 @@
     GHashTableIter iter;
     void *model;
 
-    g_hash_table_iter_init(&iter, pgw_gateway_models(links->gateway));
+    g_hash_table_iter_init(&iter, pgw_gateway_target_models(links->gateway));
     while (g_hash_table_iter_next(&iter, &model, NULL)) {
         unsigned size = open_window(
-            links, model, pgw_gateway_weights(links->gateway, model));
+            links, model, pgw_gateway_target_version(links->gateway, model));
 
         widest = MAX(widest, size);
     }
@@ -268,8 +268,8 @@
     if (!loads && newer && upstream->loading_since_us > 0) {
         pgw_weights_load_times_add(&links->pace,
                                    now_us - upstream->loading_since_us);
-        pgw_gateway_set_load(links->gateway,
-                             pgw_weights_load_times_expected_us(&links->pace));
+        pgw_gateway_set_weights_loading_time(
+            links->gateway, pgw_weights_load_times_expected_us(&links->pace));
     }
     if (newer || loads != (upstream->loading_since_us > 0)) {
         pgw_sidecar_links_rollout_schedule(links);
--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -59,7 +59,7 @@
 }
 
 static bool
-may_order(void *context)
+may_send_order(void *context)
 {
     const struct pgw_sidecarless *self = context;
 
@@ -70,7 +70,8 @@
 target_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
-    return pgw_gateway_weights(self->gateway, upstream->models[model].model);
+    return pgw_gateway_target_version(self->gateway,
+                                      upstream->models[model].model);
 }
 
 /* Whether the version of a model is known and older than the target version.
@@ -112,7 +113,7 @@
         .codec = self->options.codec,
         .report_lag_us = REPORT_LAG_US,
         .get_token = get_token,
-        .may_order = may_order,
+        .may_send_order = may_send_order,
         .context = self,
     };
     struct managed_engine *engine = g_new0(struct managed_engine, 1);
@@ -298,7 +299,7 @@
     sidecarless->token_requested = false;
     g_hash_table_iter_init(&iter, sidecarless->managed_engines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_engine_sidecar_take_token(
-            ((struct managed_engine *)value)->sidecar, token);
+        pgw_engine_sidecar_set_token(((struct managed_engine *)value)->sidecar,
+                                     token);
     }
 }
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -65,22 +65,22 @@
 static const char *
 reserve_retry(struct pgw_exchange *exchange)
 {
-    if (!pgw_attempt_may_repeat(exchange)) {
+    if (!pgw_attempt_may_retry(exchange)) {
         return "may_not_repeat";
     }
-    if (!pgw_exchange_has_place(exchange)) {
+    if (!pgw_exchange_has_free_upstream(exchange)) {
         return "no_place";
     }
-    return pgw_attempt_take_repeat(exchange) ? NULL : "no_repeat_left";
+    return pgw_attempt_take_retry(exchange) ? NULL : "no_repeat_left";
 }
 
 static void
 log_stalled(struct pgw_exchange *exchange, const char *reason, uint64_t now_us)
 {
-    if (exchange->stuck_told) {
+    if (exchange->stuck_is_logged) {
         return;
     }
-    exchange->stuck_told = true;
+    exchange->stuck_is_logged = true;
     pgw_log_info(
         "request_stuck",
         "request=%s upstream=%s silent_ms=%" G_GUINT64_FORMAT " stays=%s",
@@ -108,8 +108,8 @@
     }
     pgw_metric_counter_add(&failed_over, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
-    pgw_attempt_repeat(exchange, "silent");
+    pgw_attempt_record_result(exchange, PGW_RESULT_TIMEOUT);
+    pgw_attempt_retry(exchange, "silent");
 }
 
 /* Whether the request was sent to a process that another one has replaced, and
@@ -123,7 +123,7 @@
     return exchange->sent_us < replaced_at_us &&
            pgw_call_is_running(&exchange->call) &&
            now_us >= MAX(replaced_at_us, exchange->last_byte_us) +
-                         exchange->gateway->options.last_bytes_us;
+                         exchange->gateway->options.final_answer_grace_us;
 }
 
 /*
@@ -137,7 +137,7 @@
 {
     pgw_metric_counter_add(&process_ended, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_unknown(exchange, "process_ended");
+    pgw_attempt_handle_unknown(exchange, "process_ended");
 }
 
 void
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -212,7 +212,7 @@
     caller = scene_call(scene, "/once/", "c");
     expect(caller, "HTTP/1.1 429 ", "Retry-After: 5");
     g_assert_cmpuint(look().asks, ==, 2);
-    g_assert_true(scene_is_quiet(scene, 0));
+    g_assert_true(scene_has_no_connection(scene, 0));
     scene_free(scene);
 }
 
@@ -249,7 +249,7 @@
         int caller = scene_call(scene, "/once/", "a");
 
         calls++;
-        while (scene_is_quiet(scene, 0)) {
+        while (scene_has_no_connection(scene, 0)) {
             scene_run(scene, do_nothing);
             if (look().asks > asks) {
                 asks = look().asks;
@@ -293,7 +293,7 @@
 static void
 test_waits_for_links(void)
 {
-    struct scene *scene = set_up(scene_new_paused(1));
+    struct scene *scene = set_up(scene_new_with_start_pause(1));
     int caller;
 
     set_all_reachable(false);
--- a/tests/unit/test_sidecarless.c
+++ b/tests/unit/test_sidecarless.c
@@ -213,7 +213,7 @@
 test_entry_gives_order(void)
 {
     fixture_open(false);
-    scene_engine_play(&fixture->engine, is_ordered);
+    scene_engine_serve(&fixture->engine, is_ordered);
     g_assert_nonnull(strstr(fixture->engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(fixture->engine.order, "\"fence\":41"));
     g_assert_nonnull(strstr(fixture->engine.order, "\"holder\":\"entry-1\""));
