--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -386,7 +386,7 @@
     for (unsigned i = 0; i < 1200; i++) {
         g_assert_cmpuint(got[i], <, 40);
     }
-    near = pool.input.pool->near;
+    near = pool.input.pool->local;
     g_assert_cmpuint(near->len, ==, 400);
     for (unsigned i = 0; i < near->len; i++) {
         ((struct pgw_upstream *)g_ptr_array_index(near, i))->inflight = 24;
