--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -164,7 +164,7 @@
 void
 pgw_candidates_pick(struct pgw_candidates *out,
                     const struct pgw_upstream_pool *pool,
-                    enum pgw_candidates_from from,
+                    enum pgw_candidates_scope from,
                     const struct pgw_homes *homes,
                     const struct pgw_level_chain *chain, uint64_t random,
                     uint64_t now_us)
@@ -179,7 +179,7 @@
         append(out, homes->items[i], (uint32_t)i);
     }
     out->home_count = out->count;
-    if (from == PGW_CANDIDATES_ANYWHERE) {
+    if (from == PGW_CANDIDATES_ALL_ZONES) {
         drawn = DRAWN_ANYWHERE;
     }
     else if (!out->all && pool->local->len >= NEAR_MIN) {
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -297,11 +297,12 @@
         input.newest_version = pgw_target_weights_newest(target);
         input.version = pgw_target_weights_oldest_usable(
             target,
-            pgw_policy_is_on(&gateway->options.policy, PGW_WEIGHTS_GRACE)
+            pgw_policy_is_on(&gateway->options.policy,
+                             PGW_MECHANISM_WEIGHTS_GRACE)
                 ? gateway->options.weights_grace_us
                 : 0,
             input.now_us);
-        input.least_version = pgw_target_weights_oldest_usable(
+        input.min_version = pgw_target_weights_oldest_usable(
             target, gateway->options.old_weights_usable_us,
             input.now_us +
                 exchange->facts.prompt.tokens * OLD_WEIGHTS_TOKEN_US);
--- a/src/gateway/engine_sidecar_orders.c
+++ b/src/gateway/engine_sidecar_orders.c
@@ -230,7 +230,8 @@
     model = &sidecar->models[sidecar->model_count++];
     model->model = g_strdup(name);
     options.report_lag_us = sidecar->options.report_lag_us;
-    if (!pgw_policy_is_on(&sidecar->options.policy, PGW_LOAD_DRAIN)) {
+    if (!pgw_policy_is_on(&sidecar->options.policy,
+                          PGW_MECHANISM_LOAD_DRAIN)) {
         options.drain_timeout_us = 0;
     }
     pgw_weights_order_init(&model->order, &options);
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -69,14 +69,15 @@
     sidecar->alive = true;
     sidecar->failed_polls = 0;
     sidecar->arrivals_before_poll = (struct pgw_announced_arrivals){0};
-    pgw_announced_prompts_report(&sidecar->announced_prompts,
-                                 &(struct pgw_engine_work){
-                                     .runs = sidecar->report.runs,
-                                     .run_count = sidecar->report.run_count,
-                                     .reading = sidecar->report.unlisted_runs,
-                                     .waiting = sidecar->report.load.waiting,
-                                 },
-                                 now);
+    pgw_announced_prompts_apply_report(
+        &sidecar->announced_prompts,
+        &(struct pgw_engine_work){
+            .runs = sidecar->report.runs,
+            .run_count = sidecar->report.run_count,
+            .reading = sidecar->report.unlisted_runs,
+            .waiting = sidecar->report.load.waiting,
+        },
+        now);
     for (size_t i = 0; i < sidecar->model_count; i++) {
         struct pgw_sidecar_model *model = &sidecar->models[i];
         uint64_t version =
--- a/src/gateway/engine_sidecar_quota.c
+++ b/src/gateway/engine_sidecar_quota.c
@@ -73,9 +73,9 @@
     struct pgw_quota_answer answer;
     struct pgw_quota_request request = {
         .workspace = ask->workspace,
-        .terms = {.rate = ask->rate,
-                  .burst = ask->burst,
-                  .version = ask->version},
+        .limits = {.rate = ask->rate,
+                   .burst = ask->burst,
+                   .version = ask->version},
         .spent = ask->spent,
         .refused = ask->refused,
         .cost = ask->cost,
@@ -83,7 +83,8 @@
         .restarted = deployment_has_restarted(entry->sidecar, now),
     };
 
-    pgw_quota_buckets_take(&answer, entry->sidecar->quotas, &request, now);
+    pgw_quota_buckets_handle_request(&answer, entry->sidecar->quotas, &request,
+                                     now);
     pgw_metric_counter_add(&asks, 1);
     pgw_metric_counter_add(&refused, ask->cost > answer.granted);
     message.workspace = ask->workspace;
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -79,8 +79,8 @@
 current_load(const struct pgw_engine_sidecar *sidecar)
 {
     struct pgw_upstream_load load = sidecar->report.load;
-    struct pgw_unread unread =
-        pgw_announced_prompts_unread(&sidecar->announced_prompts);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(&sidecar->announced_prompts);
 
     load.running += sidecar->arrivals_since_poll.requests +
                     sidecar->arrivals_before_poll.requests;
@@ -155,7 +155,7 @@
                                    struct pgw_connected_entry *entry)
 {
     GArray *all =
-        pgw_cached_parts_all(&sidecar->cached_parts, entry->is_remote);
+        pgw_cached_parts_snapshot(&sidecar->cached_parts, entry->is_remote);
 
     send_state(sidecar, entry,
                &(struct report){.updates = all,
@@ -207,8 +207,8 @@
 report_to_zone_group(struct pgw_engine_sidecar *sidecar, bool remote,
                      bool with_identity, size_t parts_max)
 {
-    bool parts_reset =
-        remote ? sidecar->cached_parts.far_reset : sidecar->cached_parts.reset;
+    bool parts_reset = remote ? sidecar->cached_parts.remote_reset
+                              : sidecar->cached_parts.reset;
     GArray *updates =
         pgw_cached_parts_changes(&sidecar->cached_parts, remote, parts_max);
     struct report report = {
@@ -263,12 +263,12 @@
     report_to_zone_group(sidecar, false, urgent, SIZE_MAX);
     if (to_remote) {
         sidecar->reported_remote_us = sidecar->reported_us;
-        report_to_zone_group(
-            sidecar, true, urgent,
-            pgw_policy_is_on(&sidecar->options.policy, PGW_FAR_PARTS)
-                ? pgw_report_budget_remote_parts_max(
-                      count_remote_entries(sidecar))
-                : 0);
+        report_to_zone_group(sidecar, true, urgent,
+                             pgw_policy_is_on(&sidecar->options.policy,
+                                              PGW_MECHANISM_REMOTE_PARTS)
+                                 ? pgw_report_budget_remote_parts_max(
+                                       count_remote_entries(sidecar))
+                                 : 0);
     }
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -169,7 +169,7 @@
  * @probe: ask for an engine's load and its cached parts; the answer arrives
  *   through pgw_gateway_probe_answered(). false: the sidecar is not reachable
  * @ask_quota: ask the owner of a quota for units, or report units to it; the
- *   answer arrives through pgw_quota_answered(). false: the owner is not
+ *   answer arrives through pgw_quota_handle_answer(). false: the owner is not
  *   reachable
  */
 struct pgw_sidecar_ops {
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -266,7 +266,7 @@
 
     g_assert_true(pgw_address_parse(&options.listen, LOOPBACK ":0", NULL));
     /* One slot means one request at a time. */
-    options.choose.plain_depth = 1.0;
+    options.choose.plain_max_load = 1.0;
     /* The test never sleeps, so its crashes follow each other closely. */
     options.crash_quarantine.min_crash_gap_us = 0;
     scene->loop = pgw_loop_new(NULL);
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -55,7 +55,7 @@
     pool->input.prompt = &pool->prompt;
     pool->input.model = MODEL;
     pool->input.kv_tokens = 140000;
-    pool->input.read_rate = 60;
+    pool->input.prefill_tokens_per_ms = 60;
 }
 
 static struct pgw_choice
@@ -252,9 +252,9 @@
     old = add(&pool, "old", "a", 1);
     ask_prompt(&pool, 100);
     pool.input.version = 2;
-    pool.input.least_version = 1;
+    pool.input.min_version = 1;
     g_assert_true(choose(&pool).upstream == old);
-    pool.input.least_version = 2;
+    pool.input.min_version = 2;
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
 }
@@ -552,7 +552,7 @@
     pool.input.run_ms = 1000;
     g_assert_true(choose(&pool).upstream == other);
     /* Its turn comes only after that. */
-    pool.input.turn_ms = 970;
+    pool.input.load_wait_ms = 970;
     g_assert_true(choose(&pool).upstream == next);
     pgw_upstream_table_free(pool.table);
 }
@@ -729,14 +729,16 @@
     struct pgw_policy policy = {0};
 
     pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, options.old_ms);
-    g_assert_true(changed.back_off);
-    policy.off[PGW_WEIGHTS_PRICE] = true;
-    policy.off[PGW_REFUSAL_REST] = true;
+    g_assert_cmpfloat(changed.old_weights_cost_ms, ==,
+                      options.old_weights_cost_ms);
+    g_assert_true(changed.refusal_backoff_enabled);
+    policy.off[PGW_MECHANISM_OLD_WEIGHTS_COST] = true;
+    policy.off[PGW_MECHANISM_REFUSAL_BACKOFF] = true;
     pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, 0);
-    g_assert_cmpfloat(changed.delay_share, ==, options.delay_share);
-    g_assert_false(changed.back_off);
+    g_assert_cmpfloat(changed.old_weights_cost_ms, ==, 0);
+    g_assert_cmpfloat(changed.load_delay_weight, ==,
+                      options.load_delay_weight);
+    g_assert_false(changed.refusal_backoff_enabled);
 }
 
 int
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -126,7 +126,7 @@
     char id[16];
 
     g_snprintf(id, sizeof(id), "e%d", seen.asked);
-    pgw_quota_answered(
+    pgw_quota_handle_answer(
         pgw_gateway_quota(scene->gateway),
         pgw_upstream_table_find(pgw_gateway_upstreams(scene->gateway), id),
         seen.last.request.workspace, seen.last.ask, &seen.answer);
@@ -198,7 +198,7 @@
 
     wait_for_asks(scene, 1);
     g_assert_cmpfloat(look().last.request.cost, ==, 1);
-    g_assert_cmpfloat(look().last.request.terms.rate, ==, 100);
+    g_assert_cmpfloat(look().last.request.limits.rate, ==, 100);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
@@ -226,7 +226,7 @@
     scene_set_quota(scene, 6, 100, 0);
     caller = scene_call(scene, "/once/", "a");
     wait_for_asks(scene, 1);
-    g_assert_cmpfloat(look().last.request.terms.burst, ==, 50);
+    g_assert_cmpfloat(look().last.request.limits.burst, ==, 50);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -99,7 +99,7 @@
         .pool = pgw_upstream_table_pool(simulation->table, "s"),
         .prompt = &prompt,
         .model = MODEL_NAME,
-        .read_rate = 60,
+        .prefill_tokens_per_ms = 60,
         .run_ms = (double)(is_long ? LONG_US : SHORT_US) / 1000,
         .now_us = simulation->now_us,
         .random = simulation->now_us,
@@ -217,7 +217,7 @@
     struct simulation *without = g_new0(struct simulation, 1);
 
     run_simulation(with, &options);
-    policy.off[PGW_LOAD_NEXT] = true;
+    policy.off[PGW_MECHANISM_LOAD_NEXT] = true;
     pgw_choose_options_apply(&options, &policy);
     run_simulation(without, &options);
     g_test_message(
