--- a/bench/placement/policy.c
+++ b/bench/placement/policy.c
@@ -17,7 +17,7 @@
         .homes = &job->homes,
         .model = SIM_MODEL,
         .size = job->prompt.tokens,
-        .read_rate = sim->options.read_rate,
+        .prefill_tokens_per_ms = sim->options.prefill_tokens_per_ms,
         .kv_tokens = sim->options.kv_tokens,
         .now_us = sim->now_us,
         .random = sim_random(sim),
--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -2,25 +2,26 @@
 #include "parsleygw/place.h"
 #include <xxhash.h>
 
-/* An own zone with fewer upstreams than this is not looked at alone: a few
- * that are busy or failing would send every request to the second look. */
-#define NEAR_MIN 8
-/* Drawn for a plain call: the shortest queue of so many is hardly longer than
- * the shortest of all, and entries that decide at the same moment on the same
- * reports do not all go to one upstream. */
-#define DRAWN_PLAIN 16
-/* Drawn for a prompt beside the first in rank: when those are full it goes to
- * one with room, whichever that is. */
-#define DRAWN_PROMPT 32
-/* Drawn when nothing nearby could take the request. */
-#define DRAWN_ANYWHERE 96
-/* Most upstreams that are ranked: all of the largest pool that the design aims
- * at, or entries with other orders of the list would find other homes. */
+/* A smaller local zone is not evaluated alone: a few busy or failing upstreams
+ * would make every request scan all zones as well. */
+#define LOCAL_ZONE_MIN 8
+/* Sample size for a plain call: the shortest queue among so many is hardly
+ * longer than the shortest of all, and entries that decide at the same time on
+ * the same reports spread over several upstreams. */
+#define SAMPLES_PLAIN 16
+/* Sample size for a prompt, in addition to the ranked upstreams: when those
+ * are full, any sampled upstream with a free slot takes it. */
+#define SAMPLES_PROMPT 32
+/* Sample size when no upstream of the local zone can take the request. */
+#define SAMPLES_ALL_ZONES 96
+/* Maximum number of ranked upstreams; covers the largest supported pool. If
+ * only part of the pool were ranked, entries that list it in another order
+ * would find other homes. */
 #define RANKED_MAX 16384
 
 static bool
-is_in(const struct pgw_candidates *candidates,
-      const struct pgw_upstream *upstream)
+contains(const struct pgw_candidates *candidates,
+         const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < candidates->count; i++) {
         if (candidates->items[i] == upstream) {
@@ -30,7 +31,7 @@
     return false;
 }
 
-/* Homes are taken in before all others. */
+/* The homes are the first items. */
 static bool
 is_home(const struct pgw_candidates *candidates,
         const struct pgw_upstream *upstream)
@@ -53,8 +54,8 @@
     }
 }
 
-/* All of @from, beginning somewhere: the first of equals is the one that is
- * chosen, and it must not be the same one for all entries. */
+/* Appends all of @from, starting at a random position: the first of equally
+ * good upstreams is chosen, and it must not be the same one at all entries. */
 static void
 add_all(struct pgw_candidates *out, const GPtrArray *from, uint64_t random)
 {
@@ -69,15 +70,15 @@
 }
 
 static void
-add_drawn(struct pgw_candidates *out, const GPtrArray *from, unsigned count,
-          uint64_t random)
+add_samples(struct pgw_candidates *out, const GPtrArray *from, unsigned count,
+            uint64_t random)
 {
     for (unsigned i = 0; i < count && from->len > 0; i++) {
-        uint64_t draw = XXH3_64bits_withSeed(&i, sizeof(i), random);
+        uint64_t hash = XXH3_64bits_withSeed(&i, sizeof(i), random);
         struct pgw_upstream *upstream =
-            g_ptr_array_index(from, draw % from->len);
+            g_ptr_array_index(from, hash % from->len);
 
-        if (!is_in(out, upstream)) {
+        if (!contains(out, upstream)) {
             append(out, upstream, PGW_PLACE_RANK_MAX);
         }
     }
@@ -96,7 +97,8 @@
     append(out, upstream, rank);
 }
 
-/* Positions in @from of the first @most in rank; returns their number. */
+/* Finds the positions in @from of the @most highest ranked; returns their
+ * number. */
 static size_t
 rank(uint32_t *out, size_t most, const GPtrArray *from,
      const struct pgw_level_chain *chain, uint64_t now_us)
@@ -118,7 +120,7 @@
     return ranked;
 }
 
-/* Takes in the first in rank of @from, behind the homes. */
+/* Adds the highest ranked of @from, with ranks after those of the homes. */
 static void
 add_ranked(struct pgw_candidates *out, const GPtrArray *from,
            const struct pgw_level_chain *chain, uint64_t now_us)
@@ -136,9 +138,10 @@
     }
 }
 
-/* All of it can be weighed, and all that is known of it is fresh. */
+/* The pool is small enough to evaluate whole, and all of its reports are
+ * fresh. */
 static bool
-is_weighed_whole(const struct pgw_upstream_pool *pool)
+is_evaluated_whole(const struct pgw_upstream_pool *pool)
 {
     return !pool->divided && pool->all->len <= PGW_CANDIDATES_MAX;
 }
@@ -151,7 +154,7 @@
     uint32_t order[PGW_HOMES_MAX];
 
     out->count = 0;
-    if (is_weighed_whole(pool) || count == 0) {
+    if (is_evaluated_whole(pool) || count == 0) {
         return;
     }
     out->count =
@@ -164,37 +167,37 @@
 void
 pgw_candidates_pick(struct pgw_candidates *out,
                     const struct pgw_upstream_pool *pool,
-                    enum pgw_candidates_from from,
+                    enum pgw_candidates_scope scope,
                     const struct pgw_homes *homes,
                     const struct pgw_level_chain *chain, uint64_t random,
                     uint64_t now_us)
 {
     const GPtrArray *source = pool->all;
-    unsigned drawn = chain == NULL ? DRAWN_PLAIN : DRAWN_PROMPT;
-    bool known;
+    unsigned samples = chain == NULL ? SAMPLES_PLAIN : SAMPLES_PROMPT;
+    bool all_reported;
 
     out->count = 0;
-    out->all = is_weighed_whole(pool);
+    out->all = is_evaluated_whole(pool);
     for (size_t i = 0; homes != NULL && i < homes->count; i++) {
         append(out, homes->items[i], (uint32_t)i);
     }
     out->home_count = out->count;
-    if (from == PGW_CANDIDATES_ANYWHERE) {
-        drawn = DRAWN_ANYWHERE;
+    if (scope == PGW_CANDIDATES_ALL_ZONES) {
+        samples = SAMPLES_ALL_ZONES;
     }
-    else if (!out->all && pool->near->len >= NEAR_MIN) {
+    else if (!out->all && pool->near->len >= LOCAL_ZONE_MIN) {
         source = pool->near;
     }
-    /* Of engines in other zones that do not report nothing is known, and each
-     * looks idle: some are drawn, so that not all take the first in rank. */
-    known = out->all || source == pool->near;
-    if (known && source->len <= PGW_CANDIDATES_MAX) {
+    /* Engines of other zones that send no reports all look idle: a random
+     * sample keeps requests from all going to the highest ranked one. */
+    all_reported = out->all || source == pool->near;
+    if (all_reported && source->len <= PGW_CANDIDATES_MAX) {
         add_all(out, source, random);
     }
     if (chain != NULL) {
         add_ranked(out, source, chain, now_us);
     }
-    if (!known || source->len > PGW_CANDIDATES_MAX) {
-        add_drawn(out, source, drawn, random);
+    if (!all_reported || source->len > PGW_CANDIDATES_MAX) {
+        add_samples(out, source, samples, random);
     }
 }
--- a/src/gateway/candidates.h
+++ b/src/gateway/candidates.h
@@ -5,26 +5,27 @@
 #include "parsleygw/level.h"
 
 /**
- * DOC: Which upstreams of a pool are weighed for a request
+ * DOC: Upstreams of a pool that are evaluated for a request
  *
- * A small pool is weighed whole. Of a large one, and of one whose sidecars
- * would report too rarely to entries of other zones, only some are: those of
- * the entry's own availability zone, and of these the first ones in rank for
- * the prompt and a few drawn by lot. So a choice costs the same among 300 and
- * 10,000 upstreams, and no upstream is left out for its place in the list.
+ * A small pool is evaluated whole. Of a large pool, or of one whose sidecars
+ * report too rarely to entries of other zones, only a subset is: upstreams of
+ * the entry's own availability zone, and if these are too many, the highest
+ * ranked for the prompt and a random sample. Hence a choice costs the same
+ * with 300 and with 10,000 upstreams, and an upstream's position in the list
+ * does not matter.
  */
 
-/* Most upstreams that one choice weighs: it then takes a small part of what an
- * entry needs for a whole request. */
+/* Limits the cost of one choice to a small part of an entry's work for a
+ * request. */
 #define PGW_CANDIDATES_MAX 128
 
 /**
- * struct pgw_candidates - upstreams to weigh
- * @items: these; the order between equals is the draw's
- * @rank: rank of each for the prompt, %PGW_PLACE_RANK_MAX for the rest
+ * struct pgw_candidates - upstreams to evaluate
+ * @items: the upstreams, rotated or sampled at random
+ * @rank: rank of each for the prompt, %PGW_PLACE_RANK_MAX if not ranked
  * @count: number of @items
- * @home_count: how many of the first are homes of the prompt
- * @all: no upstream of the pool is missing
+ * @home_count: how many of the first @items are homes of the prompt
+ * @all: @items has all upstreams of the pool
  */
 struct pgw_candidates {
     struct pgw_upstream *items[PGW_CANDIDATES_MAX];
@@ -35,22 +36,25 @@
 };
 
 /**
- * enum pgw_candidates_from - where candidates are looked for
- * @PGW_CANDIDATES_NEAR: in the entry's own zone, if the pool is large and the
- *   zone has a fair number
- * @PGW_CANDIDATES_ANYWHERE: in all zones: nobody nearby could take it
+ * enum pgw_candidates_scope - zones that candidates are taken from
+ * @PGW_CANDIDATES_LOCAL_ZONE: the entry's own zone, if the pool is large and
+ *   the zone has enough upstreams; else all zones
+ * @PGW_CANDIDATES_ALL_ZONES: all zones; used when no candidate of the local
+ *   zone can take the request
  */
-enum pgw_candidates_from {
-    PGW_CANDIDATES_NEAR,
-    PGW_CANDIDATES_ANYWHERE,
+enum pgw_candidates_scope {
+    PGW_CANDIDATES_LOCAL_ZONE,
+    PGW_CANDIDATES_ALL_ZONES,
 };
 
-/* Homes of a prompt: the first in rank of a pool that is not weighed whole. */
+/* Homes of a prompt: the highest ranked upstreams of a pool that is not
+ * evaluated whole. */
 #define PGW_HOMES_MAX 4
 
 /**
- * struct pgw_homes - where entries of all zones look for a prompt's parts
- * @items: the first in rank of the whole pool
+ * struct pgw_homes - engines where entries of all zones look for a prompt's
+ * parts
+ * @items: the highest ranked upstreams of the whole pool
  * @count: number of @items
  */
 struct pgw_homes {
@@ -59,11 +63,11 @@
 };
 
 /**
- * pgw_homes_pick() - the homes of a prompt
- * @out: receives them; none where the pool is weighed whole
+ * pgw_homes_pick() - find the homes of a prompt
+ * @out: receives the homes; none if the pool is evaluated whole
  * @pool: upstreams of the service
  * @chain: shared parts of the prompt
- * @count: how many, %PGW_HOMES_MAX at most
+ * @count: maximum number of homes, %PGW_HOMES_MAX at most
  * @now_us: monotonic time
  */
 void pgw_homes_pick(struct pgw_homes *out,
@@ -72,18 +76,19 @@
                     uint64_t now_us);
 
 /**
- * pgw_candidates_pick() - upstreams to weigh for one request
- * @out: receives them
+ * pgw_candidates_pick() - collect the upstreams to evaluate for a request
+ * @out: receives the candidates
  * @pool: upstreams of the service
- * @from: where to look
- * @homes: weighed beside the own zone, before it in rank; NULL: none
+ * @scope: zones to take them from
+ * @homes: homes of the prompt, added first and with the first ranks; NULL:
+ *   none
  * @chain: shared parts of the prompt; NULL: a plain call
- * @random: the draw; the same one gives the same candidates
+ * @random: seed of the sample; the same seed gives the same candidates
  * @now_us: monotonic time
  */
 void pgw_candidates_pick(struct pgw_candidates *out,
                          const struct pgw_upstream_pool *pool,
-                         enum pgw_candidates_from from,
+                         enum pgw_candidates_scope scope,
                          const struct pgw_homes *homes,
                          const struct pgw_level_chain *chain, uint64_t random,
                          uint64_t now_us);
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -3,9 +3,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* After so many refusals without an answer in between an engine takes nothing
- * at all. */
-#define REFUSALS_IN_A_ROW 3
+/* An engine that refuses this many requests in a row gets none until its
+ * backoff ends. */
+#define BACKOFF_REFUSALS 3
 
 void
 pgw_choose_options_apply(struct pgw_choose_options *options,
@@ -15,12 +15,13 @@
         enum pgw_mechanism mechanism;
         double *weight;
     } weights[] = {
-        {PGW_LOAD_NEXT, &options->delay_share},
-        {PGW_WEIGHTS_PRICE, &options->old_ms},
-        {PGW_PROMPT_RANK, &options->rank_share},
-        {PGW_PROMPT_RANK, &options->rank_tokens},
-        {PGW_LONG_PREFILLS, &options->long_prefill_tokens},
-        {PGW_CROWD_HARM, &options->harm_share},
+        {PGW_MECHANISM_LOAD_NEXT, &options->load_delay_weight},
+        {PGW_MECHANISM_OLD_WEIGHTS_COST, &options->old_weights_cost_ms},
+        {PGW_MECHANISM_PROMPT_RANK, &options->rank_cost_share},
+        {PGW_MECHANISM_PROMPT_RANK, &options->min_rank_cost_tokens},
+        {PGW_MECHANISM_LONG_PREFILLS, &options->long_prefill_tokens},
+        {PGW_MECHANISM_PREFILL_INTERFERENCE,
+         &options->prefill_interference_weight},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(weights); i++) {
@@ -28,8 +29,9 @@
             *weights[i].weight = 0;
         }
     }
-    options->back_off = pgw_policy_is_on(policy, PGW_REFUSAL_REST);
-    if (!pgw_policy_is_on(policy, PGW_ENGINE_FETCH)) {
+    options->refusal_backoff_enabled =
+        pgw_policy_is_on(policy, PGW_MECHANISM_REFUSAL_BACKOFF);
+    if (!pgw_policy_is_on(policy, PGW_MECHANISM_ENGINE_FETCH)) {
         options->fetch_min_tokens = UINT32_MAX;
     }
 }
@@ -53,30 +55,30 @@
     return now_us < upstream->avoid_until_us ||
            now_us < upstream->full_until_us ||
            pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE ||
-           upstream->failure_rate > options->bad_rate;
+           upstream->failure_rate > options->unhealthy_failure_rate;
 }
 
-/* Plain calls: how long the queue would be, in rounds of the slots. */
+/* Cost of a plain call: the load after it, in multiples of the slots. */
 static double
 plain_cost(const struct pgw_upstream *upstream,
            const struct pgw_choose_options *options, uint64_t now_us)
 {
     double load = pgw_upstream_load_estimate(upstream, now_us);
-    double rounds = (load + 1.0) / upstream->slots;
-    double cost = rounds;
+    double load_factor = (load + 1.0) / upstream->slots;
+    double cost = load_factor;
 
-    if (rounds > options->plain_depth) {
+    if (load_factor > options->plain_max_load) {
         return DBL_MAX;
     }
-    /* Half a round is what a call may wait before it crosses to another
-     * zone, whose bytes cost and whose way is longer. */
+    /* A call waits for up to half a round of the slots before it crosses to
+     * another zone, where traffic costs more and latency is higher. */
     if (!upstream->same_zone) {
         cost += 0.5;
     }
     if (now_us < upstream->cold_until_us) {
         cost += 0.5;
     }
-    /* An upstream that fails every second call is worth half a round more. */
+    /* A failure rate of one half costs as much as half a round. */
     return cost + upstream->failure_rate;
 }
 
@@ -91,9 +93,9 @@
     return total;
 }
 
-/* Tokens that no other request shares: always read. */
+/* Tokens that no other request shares; they are always prefilled. */
 static uint32_t
-own_tokens(const struct pgw_prompt *prompt)
+unshared_tokens(const struct pgw_prompt *prompt)
 {
     return prompt->part_count == 0
                ? prompt->tokens
@@ -125,20 +127,22 @@
 }
 
 /**
- * struct survey - the candidates and what they hold of one prompt, by position
- * @candidates: upstreams that are weighed
- * @missing: shared tokens that each lacks, counting what is on its way there
- * @confirmed: the same by its sidecar's word alone
- * @few: less than half of the candidates can be used now
+ * struct candidate_set - candidates and what they lack of the prompt
+ * @candidates: upstreams to evaluate
+ * @missing: by position, shared tokens that a candidate lacks, with expected
+ *   parts counted as cached
+ * @confirmed: by position, the same with only the parts that its sidecar has
+ *   reported
+ * @mostly_unavailable: less than half of the candidates are usable now
  */
-struct survey {
+struct candidate_set {
     struct pgw_candidates candidates;
     uint32_t missing[PGW_CANDIDATES_MAX];
     uint32_t confirmed[PGW_CANDIDATES_MAX];
-    bool few;
+    bool mostly_unavailable;
 };
 
-/* A part counts only behind all before it. */
+/* A cached part is usable only if all parts before it are cached, too. */
 static uint32_t
 missing_tokens(const struct pgw_upstream *upstream,
                const struct pgw_choose_input *input, bool expected)
@@ -162,63 +166,68 @@
 }
 
 static uint64_t
-memory_of(const struct pgw_upstream *upstream,
-          const struct pgw_choose_input *input)
+kv_capacity(const struct pgw_upstream *upstream,
+            const struct pgw_choose_input *input)
 {
     return upstream->load.kv_total > 0 ? upstream->load.kv_total
                                        : input->kv_tokens;
 }
 
-/* Whether the request fits beside what runs there; one alone always may. */
+/* Whether the request fits into the KV cache beside what runs there. A request
+ * alone on an engine always fits. */
 static bool
-fits_memory(const struct pgw_upstream *upstream,
-            const struct pgw_choose_input *input,
-            const struct pgw_choose_options *options)
+fits_kv_cache(const struct pgw_upstream *upstream,
+              const struct pgw_choose_input *input,
+              const struct pgw_choose_options *options)
 {
-    uint64_t total = memory_of(upstream, input);
+    uint64_t total = kv_capacity(upstream, input);
     uint64_t used = pgw_upstream_kv_estimate(upstream, input->now_us);
     uint64_t need =
         (uint64_t)input->prompt->tokens + input->prompt->output_tokens;
 
     return total == 0 || used == 0 ||
-           (double)(used + need) <= (double)total * options->memory_share;
+           (double)(used + need) <= (double)total * options->kv_share;
 }
 
 /*
- * Failure: most engines of a pool are away, and one is back first. Symptom:
- * all that waits is sent there at once, to wait for its turn to be read; what
- * may not run twice cannot be taken back when another engine is free, or when
- * the machine of this one stands still. More than it reads in a part of an
- * objective waits at the entry, where the next free engine takes it. One
- * prompt alone always may. While most engines are there the costs spread
- * requests, and a bound would only send prompts away from where they are
- * cached.
+ * Failure: most engines of a pool are unavailable, and the first of them comes
+ * back. Symptom: all queued requests are sent to it at once and wait there for
+ * prefill; those that must not run twice cannot be withdrawn when another
+ * engine becomes free, or when the machine of this one hangs. Therefore an
+ * engine's backlog is limited to what it prefills in part of a latency
+ * objective, and the rest stays queued at the entry, where the next free
+ * engine takes it. A single prompt is always allowed. While most engines are
+ * available, the costs spread requests, and this limit would only send prompts
+ * away from their cached parts.
  */
 static bool
-fits_reading(const struct pgw_upstream *upstream, uint32_t tokens,
+fits_backlog(const struct pgw_upstream *upstream, uint32_t tokens,
              const struct pgw_choose_input *input,
              const struct pgw_choose_options *options)
 {
-    return upstream->prefill_tokens == 0 || input->read_rate <= 0 ||
+    return upstream->prefill_tokens == 0 ||
+           input->prefill_tokens_per_ms <= 0 ||
            (double)(upstream->prefill_tokens + tokens) <=
-               options->reading_ms * input->read_rate;
+               options->max_backlog_ms * input->prefill_tokens_per_ms;
 }
 
-/* The engine that lacks least of the prompt by its sidecar's word and could
- * give it to @upstream; NULL when none has more. */
+/* The engine that lacks fewest tokens of the prompt, by its sidecar's report,
+ * and runs the same weights as @upstream; NULL if none lacks fewer than
+ * @missing. */
 static struct pgw_upstream *
 find_holder(const struct pgw_upstream *upstream, uint32_t missing,
-            const struct pgw_choose_input *input, const struct survey *survey)
+            const struct pgw_choose_input *input,
+            const struct candidate_set *set)
 {
     uint64_t version = pgw_upstream_version(upstream, input->model);
     struct pgw_upstream *best = NULL;
 
-    for (size_t i = 0; i < survey->candidates.count; i++) {
-        struct pgw_upstream *other = survey->candidates.items[i];
+    for (size_t i = 0; i < set->candidates.count; i++) {
+        struct pgw_upstream *other = set->candidates.items[i];
 
-        /* Among equals one of the same zone: the way is shorter. */
-        if (other == upstream || survey->confirmed[i] > missing ||
-            (survey->confirmed[i] == missing &&
+        /* Prefer the local zone among equals: the transfer is shorter. */
+        if (other == upstream || set->confirmed[i] > missing ||
+            (set->confirmed[i] == missing &&
              (best == NULL || best->same_zone || !other->same_zone)) ||
             !pgw_upstream_is_usable(other, input->now_us) ||
             input->now_us < other->avoid_until_us ||
@@ -226,164 +235,173 @@
             pgw_upstream_version(other, input->model) != version) {
             continue;
         }
-        missing = survey->confirmed[i];
+        missing = set->confirmed[i];
         best = other;
     }
     return best;
 }
 
-/* What it costs to get the shared parts that an engine lacks: a fetch where
- * another one holds them, reading them again where none does. */
+/* Cost of the shared parts that an engine lacks: a fetch if another engine
+ * holds them, else prefill. */
 static double
-missing_cost(const struct pgw_upstream *upstream, uint32_t missing,
-             const struct pgw_choose_input *input,
-             const struct pgw_choose_options *options,
-             const struct survey *survey)
+missing_parts_cost(const struct pgw_upstream *upstream, uint32_t missing,
+                   const struct pgw_choose_input *input,
+                   const struct pgw_choose_options *options,
+                   const struct candidate_set *set)
 {
     if (missing == 0) {
         return 0;
     }
     if (missing >= options->fetch_min_tokens &&
-        find_holder(upstream, missing, input, survey) != NULL) {
-        return options->fetch_tokens + options->fetch_share * missing;
+        find_holder(upstream, missing, input, set) != NULL) {
+        return options->fetch_cost_tokens +
+               options->fetch_cost_weight * missing;
     }
-    return options->reread_weight * missing;
+    return options->recompute_weight * missing;
 }
 
-/* Requests that run slow each other down a little, and a lot once there are
- * as many as there are places. */
+/* Each running request slows the others down slightly; the cost grows steeply
+ * as the slots fill up. */
 static double
-crowd_cost(const struct pgw_upstream *upstream, uint32_t reading,
-           const struct pgw_choose_options *options, uint64_t now_us)
+load_cost(const struct pgw_upstream *upstream, uint32_t uncached_tokens,
+          const struct pgw_choose_options *options, uint64_t now_us)
 {
     double load = pgw_upstream_load_estimate(upstream, now_us);
     double fullness = load / upstream->slots;
 
-    return load * (options->request_tokens + options->harm_share * reading) +
-           fullness * fullness * options->full_tokens;
+    return load * (options->running_cost_tokens +
+                   options->prefill_interference_weight * uncached_tokens) +
+           fullness * fullness * options->full_cost_tokens;
 }
 
-/* What was announced is known; of the rest the number of prompts is. */
+/* Estimated tokens that an engine has to prefill for other entries: those
+ * announced if any were, else from the number of long prompts. */
 static double
-reading_for_others(const struct pgw_upstream *upstream,
-                   const struct pgw_choose_options *options, double read_rate,
-                   uint64_t now_us)
+other_entries_prefill(const struct pgw_upstream *upstream,
+                      const struct pgw_choose_options *options,
+                      double prefill_tokens_per_ms, uint64_t now_us)
 {
     if (options->long_prefill_tokens <= 0) {
         return 0;
     }
     return upstream->load.unread > 0
-               ? pgw_upstream_unread(upstream, read_rate, now_us)
+               ? pgw_upstream_unread(upstream, prefill_tokens_per_ms, now_us)
                : pgw_upstream_long_prefills(upstream, now_us) *
                      options->long_prefill_tokens;
 }
 
 static bool
-is_home(const struct survey *survey, size_t position)
+is_home(const struct candidate_set *set, size_t position)
 {
-    return position < survey->candidates.home_count;
+    return position < set->candidates.home_count;
 }
 
 /*
- * Failure: all engines of a pool are full. Symptom: whoever has a free place
- * gets the next prompt, cold; it is read again each time, which takes three
- * times the engine's time, so that they stay full long after the cause is
- * over. A home is worth a wait in its queue, and so is who holds the parts. An
- * engine that will load weights refuses its queue then, and drops the parts.
+ * Failure: all engines of a pool are full. Symptom: each prompt goes to any
+ * engine with a free slot, where it is cold; the additional prefill takes
+ * three times as much engine time, so the engines stay full long after the
+ * cause is over. Therefore a prompt may queue at a home or at an engine that
+ * holds all of its shared parts. An engine that is going to load weights is
+ * excluded: it refuses its queue and drops its cached parts then.
  */
 static double
-depth_limit(const struct pgw_upstream *upstream, size_t position,
-            const struct pgw_choose_input *input,
-            const struct pgw_choose_options *options,
-            const struct survey *survey)
+max_load(const struct pgw_upstream *upstream, size_t position,
+         const struct pgw_choose_input *input,
+         const struct pgw_choose_options *options,
+         const struct candidate_set *set)
 {
-    bool affine =
-        survey->candidates.home_count > 0 &&
-        (is_home(survey, position) || survey->missing[position] == 0) &&
+    bool has_affinity =
+        set->candidates.home_count > 0 &&
+        (is_home(set, position) || set->missing[position] == 0) &&
         pgw_upstream_version(upstream, input->model) >=
             input->newest_version &&
         pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL;
 
-    return (affine ? options->home_depth : options->engine_depth) *
+    return (has_affinity ? options->home_max_load : options->engine_max_load) *
            upstream->slots;
 }
 
 /*
- * Failure: long prompts take all places of an engine. Symptom: it puts them
- * back as soon as a request of a more urgent route comes, and reads them again
- * from their beginning. One prompt is read at a time, so more than some only
- * wait there in place of others.
+ * Failure: long prompts take all slots of an engine. Symptom: the engine
+ * preempts them for requests of a more urgent route and later prefills them
+ * from the start. An engine prefills one prompt at a time, so further long
+ * prompts would only block slots.
  */
 static bool
-fits_beside_long(const struct pgw_upstream *upstream, uint32_t tokens,
-                 const struct pgw_choose_input *input,
-                 const struct pgw_choose_options *options)
+fits_long_prefills(const struct pgw_upstream *upstream, uint32_t tokens,
+                   const struct pgw_choose_input *input,
+                   const struct pgw_choose_options *options)
 {
-    double there = upstream->long_prefills +
-                   pgw_upstream_long_prefills(upstream, input->now_us);
+    double long_prefills = upstream->long_prefills +
+                           pgw_upstream_long_prefills(upstream, input->now_us);
 
     return tokens < PGW_LONG_PREFILL ||
-           there < MAX(options->long_share * upstream->slots, 1);
+           long_prefills <
+               MAX(options->long_prefill_share * upstream->slots, 1);
 }
 
-/* What is read where other entries do not look for it will be read again. */
+/* Parts that are cached outside the homes are not found by other entries,
+ * which prefill them again. */
 static double
-stray_cost(size_t position, const struct pgw_choose_input *input,
-           const struct pgw_choose_options *options,
-           const struct survey *survey)
+non_home_cost(size_t position, const struct pgw_choose_input *input,
+              const struct pgw_choose_options *options,
+              const struct candidate_set *set)
 {
-    return survey->candidates.home_count == 0 || is_home(survey, position) ||
-                   survey->missing[position] == 0
+    return set->candidates.home_count == 0 || is_home(set, position) ||
+                   set->missing[position] == 0
                ? 0
-               : options->stray_share * pgw_prompt_shared(input->prompt);
+               : options->non_home_weight * pgw_prompt_shared(input->prompt);
 }
 
 static double
 engine_cost(const struct pgw_upstream *upstream, size_t position,
             const struct pgw_choose_input *input,
             const struct pgw_choose_options *options,
-            const struct survey *survey)
+            const struct candidate_set *set)
 {
     uint32_t load = pgw_upstream_load_estimate(upstream, input->now_us);
     uint64_t version = pgw_upstream_version(upstream, input->model);
-    double rank_tokens =
-        MAX(options->rank_share * pgw_prompt_shared(input->prompt),
-            options->rank_tokens);
+    double rank_cost =
+        MAX(options->rank_cost_share * pgw_prompt_shared(input->prompt),
+            options->min_rank_cost_tokens);
     double cost;
 
-    if (load + 1 > depth_limit(upstream, position, input, options, survey) ||
-        !fits_memory(upstream, input, options) ||
-        !fits_beside_long(
-            upstream, survey->missing[position] + own_tokens(input->prompt),
+    if (load + 1 > max_load(upstream, position, input, options, set) ||
+        !fits_kv_cache(upstream, input, options) ||
+        !fits_long_prefills(
+            upstream, set->missing[position] + unshared_tokens(input->prompt),
             input, options) ||
-        (survey->few &&
-         !fits_reading(upstream,
-                       survey->missing[position] + own_tokens(input->prompt),
+        (set->mostly_unavailable &&
+         !fits_backlog(upstream,
+                       set->missing[position] + unshared_tokens(input->prompt),
                        input, options))) {
         return DBL_MAX;
     }
-    if (version < input->least_version) {
+    if (version < input->min_version) {
         return DBL_MAX;
     }
-    cost =
-        (double)upstream->prefill_tokens +
-        reading_for_others(upstream, options, input->read_rate, input->now_us);
-    cost += missing_cost(upstream, survey->missing[position], input, options,
-                         survey);
-    cost += crowd_cost(upstream,
-                       survey->missing[position] + own_tokens(input->prompt),
-                       options, input->now_us);
-    cost += survey->candidates.rank[position] * rank_tokens;
-    cost += stray_cost(position, input, options, survey);
+    cost = (double)upstream->prefill_tokens +
+           other_entries_prefill(upstream, options,
+                                 input->prefill_tokens_per_ms, input->now_us);
+    cost += missing_parts_cost(upstream, set->missing[position], input,
+                               options, set);
+    cost += load_cost(upstream,
+                      set->missing[position] + unshared_tokens(input->prompt),
+                      options, input->now_us);
+    cost += set->candidates.rank[position] * rank_cost;
+    cost += non_home_cost(position, input, options, set);
     if (upstream->loads_next) {
-        cost += MAX(input->run_ms - input->turn_ms, 0) * options->delay_share *
-                input->read_rate;
+        cost += MAX(input->run_ms - input->load_wait_ms, 0) *
+                options->load_delay_weight * input->prefill_tokens_per_ms;
     }
     if (!upstream->same_zone) {
-        cost += (double)input->size * options->zone_tokens_per_kb / 1024;
+        cost +=
+            (double)input->size * options->remote_zone_tokens_per_kb / 1024;
     }
-    cost += version < input->version ? options->old_ms * input->read_rate : 0;
-    return cost + upstream->failure_rate * options->failing_tokens;
+    cost += version < input->version
+                ? options->old_weights_cost_ms * input->prefill_tokens_per_ms
+                : 0;
+    return cost + upstream->failure_rate * options->failure_cost_tokens;
 }
 
 void
@@ -398,41 +416,43 @@
 }
 
 static void
-make_survey(struct survey *out, const struct pgw_choose_input *input,
-            enum pgw_candidates_from from)
+collect_candidates(struct candidate_set *out,
+                   const struct pgw_choose_input *input,
+                   enum pgw_candidates_scope scope)
 {
     struct pgw_candidates *candidates = &out->candidates;
     struct pgw_level_chain chain;
     size_t usable = 0;
 
     if (input->prompt == NULL) {
-        pgw_candidates_pick(candidates, input->pool, from, NULL, NULL,
+        pgw_candidates_pick(candidates, input->pool, scope, NULL, NULL,
                             input->random, input->now_us);
         return;
     }
     pgw_prompt_chain(&chain, input->prompt);
-    pgw_candidates_pick(candidates, input->pool, from, input->homes, &chain,
+    pgw_candidates_pick(candidates, input->pool, scope, input->homes, &chain,
                         input->random, input->now_us);
     for (size_t i = 0; i < candidates->count; i++) {
         out->missing[i] = missing_tokens(candidates->items[i], input, true);
         out->confirmed[i] = missing_tokens(candidates->items[i], input, false);
         usable += pgw_upstream_is_usable(candidates->items[i], input->now_us);
     }
-    out->few = usable * 2 < candidates->count;
+    out->mostly_unavailable = usable * 2 < candidates->count;
 }
 
 static double
-cost_of(const struct pgw_upstream *upstream, size_t position,
-        const struct pgw_choose_input *input,
-        const struct pgw_choose_options *options, const struct survey *survey)
+candidate_cost(const struct pgw_upstream *upstream, size_t position,
+               const struct pgw_choose_input *input,
+               const struct pgw_choose_options *options,
+               const struct candidate_set *set)
 {
     return input->prompt == NULL
                ? plain_cost(upstream, options, input->now_us)
-               : engine_cost(upstream, position, input, options, survey);
+               : engine_cost(upstream, position, input, options, set);
 }
 
 static void
-ask_again_at(struct pgw_choice *out, uint64_t at_us)
+set_retry_at(struct pgw_choice *out, uint64_t at_us)
 {
     if (out->retry_at_us == 0 || at_us < out->retry_at_us) {
         out->retry_at_us = at_us;
@@ -440,12 +460,12 @@
 }
 
 /*
- * Failure: an engine's machine is suspended while all others load or are full.
- * Symptom: it looks idle, so it is sent request after request, none of which
- * can be taken back or told to be "not run"; their callers wait for nothing
- * until they leave. Without a word of its sidecar or a byte of its own it gets
- * one request at a time to find out; what waits for a place elsewhere can
- * still be refused truthfully.
+ * Failure: an engine's machine is suspended while all other engines load
+ * weights or are full. Symptom: it looks idle and gets request after request;
+ * none of them can be withdrawn or reported as not run, and callers wait until
+ * they give up. Therefore an engine that is unresponsive, and whose sidecar is
+ * too, gets one request at a time as a probe. Requests that stay queued can
+ * still be refused as not run.
  */
 static bool
 awaits_probe(struct pgw_choice *out, const struct pgw_upstream *upstream,
@@ -455,45 +475,45 @@
         input->now_us >= upstream->probe_at_us) {
         return false;
     }
-    ask_again_at(out, upstream->probe_at_us);
+    set_retry_at(out, upstream->probe_at_us);
     return true;
 }
 
 /*
- * Failure: an engine loads new weights while the word of its sidecar does not
- * get here, or more entries than it has places send to it. Symptom: it refuses
- * everything at once, so it looks idle and is sent more than any other; 90
- * requests in 0.6 s on a day with cut links, each a repeat less in the budget.
- * Until it is asked again requests wait, which they can do for far longer.
+ * Failure: an engine loads new weights while reports of its sidecar do not
+ * arrive, or more entries send to it than it has slots. Symptom: it refuses
+ * everything at once, looks idle, and attracts most requests: 90 refusals in
+ * 0.6 s while links were cut, each of which took a retry from the budget.
+ * During the backoff requests stay queued, where they can wait for far longer.
  */
 static bool
-backs_off(struct pgw_choice *out, const struct pgw_upstream *upstream,
-          const struct pgw_choose_input *input,
-          const struct pgw_choose_options *options)
+is_backing_off(struct pgw_choice *out, const struct pgw_upstream *upstream,
+               const struct pgw_choose_input *input,
+               const struct pgw_choose_options *options)
 {
-    /* A plain service that is full has a place again within milliseconds, and
-     * an engine that refuses once may have meant a long prompt. */
-    if (!options->back_off || input->prompt == NULL ||
-        upstream->refusals < REFUSALS_IN_A_ROW ||
+    /* A full plain service has a free slot within milliseconds, and a single
+     * refusal of an engine may only concern a long prompt. */
+    if (!options->refusal_backoff_enabled || input->prompt == NULL ||
+        upstream->refusals < BACKOFF_REFUSALS ||
         input->now_us >= upstream->full_until_us) {
         return false;
     }
-    ask_again_at(out, upstream->full_until_us);
+    set_retry_at(out, upstream->full_until_us);
     return true;
 }
 
-/* One pass over the candidates; @unhealthy takes those that failed lately as
- * well. */
+/* One pass over the candidates; @unhealthy includes those that failed
+ * recently. */
 static struct pgw_upstream *
-cheapest(struct pgw_choice *out, const struct pgw_choose_input *input,
-         const struct pgw_choose_options *options, const struct survey *survey,
-         bool unhealthy)
+find_cheapest(struct pgw_choice *out, const struct pgw_choose_input *input,
+              const struct pgw_choose_options *options,
+              const struct candidate_set *set, bool unhealthy)
 {
     struct pgw_upstream *best = NULL;
     double best_cost = DBL_MAX;
 
-    for (size_t i = 0; i < survey->candidates.count; i++) {
-        struct pgw_upstream *upstream = survey->candidates.items[i];
+    for (size_t i = 0; i < set->candidates.count; i++) {
+        struct pgw_upstream *upstream = set->candidates.items[i];
         double cost;
 
         if (!pgw_upstream_is_usable(upstream, input->now_us)) {
@@ -505,13 +525,13 @@
         }
         out->busy = true;
         if (awaits_probe(out, upstream, input) ||
-            backs_off(out, upstream, input, options)) {
+            is_backing_off(out, upstream, input, options)) {
             continue;
         }
         if (!unhealthy && is_unhealthy(upstream, options, input->now_us)) {
             continue;
         }
-        cost = cost_of(upstream, i, input, options, survey);
+        cost = candidate_cost(upstream, i, input, options, set);
         if (cost < best_cost) {
             best_cost = cost;
             best = upstream;
@@ -521,33 +541,33 @@
 }
 
 static struct pgw_upstream *
-cheapest_of(struct pgw_choice *out, const struct pgw_choose_input *input,
-            const struct pgw_choose_options *options, struct survey *survey,
-            enum pgw_candidates_from from)
+choose_from(struct pgw_choice *out, const struct pgw_choose_input *input,
+            const struct pgw_choose_options *options,
+            struct candidate_set *set, enum pgw_candidates_scope scope)
 {
     struct pgw_upstream *upstream;
 
-    make_survey(survey, input, from);
-    upstream = cheapest(out, input, options, survey, false);
+    collect_candidates(set, input, scope);
+    upstream = find_cheapest(out, input, options, set, false);
     return upstream != NULL ? upstream
-                            : cheapest(out, input, options, survey, true);
+                            : find_cheapest(out, input, options, set, true);
 }
 
 void
 pgw_choose(struct pgw_choice *out, const struct pgw_choose_input *input,
            const struct pgw_choose_options *options)
 {
-    struct survey survey;
+    struct candidate_set set;
 
     memset(out, 0, sizeof(*out));
     if (input->pool == NULL) {
         return;
     }
     out->upstream =
-        cheapest_of(out, input, options, &survey, PGW_CANDIDATES_NEAR);
-    if (out->upstream == NULL && !survey.candidates.all) {
+        choose_from(out, input, options, &set, PGW_CANDIDATES_LOCAL_ZONE);
+    if (out->upstream == NULL && !set.candidates.all) {
         out->upstream =
-            cheapest_of(out, input, options, &survey, PGW_CANDIDATES_ANYWHERE);
+            choose_from(out, input, options, &set, PGW_CANDIDATES_ALL_ZONES);
     }
     if (out->upstream == NULL || input->prompt == NULL) {
         return;
@@ -556,7 +576,7 @@
     out->shared_tokens = pgw_prompt_shared(input->prompt);
     if (options->fetch_min_tokens < UINT32_MAX) {
         out->holder =
-            find_holder(out->upstream, out->shared_tokens, input, &survey);
+            find_holder(out->upstream, out->shared_tokens, input, &set);
     }
     if (out->holder != NULL) {
         out->holder_missing = missing_tokens(out->holder, input, false);
--- a/src/gateway/choose.h
+++ b/src/gateway/choose.h
@@ -6,19 +6,20 @@
 #include "gateway/upstream_table.h"
 
 /**
- * DOC: Which upstream gets a request
+ * DOC: Choice of the upstream for a request
  *
- * Pure decisions over an entry's knowledge, with the clock passed in. Plain
- * calls go to the least loaded upstream nearby; prompts go where the least
- * remains to be computed before their first token.
+ * Pure functions over an entry's state, with the clock passed in. A plain call
+ * goes to the least loaded upstream, preferably of the local zone. A prompt
+ * goes to the engine with the lowest estimated cost until its first token,
+ * counted in tokens to prefill.
  */
 
 #define PGW_PROMPT_PARTS_MAX 16
 
 /**
  * struct pgw_prompt_part - one part of a prompt
- * @id: hash of its id
- * @tokens: its size
+ * @id: hash of the part's id
+ * @tokens: size of the part
  */
 struct pgw_prompt_part {
     uint64_t id;
@@ -26,12 +27,13 @@
 };
 
 /**
- * struct pgw_prompt - what placement needs to know of a prompt
- * @parts: in order; the last one belongs to this request alone
+ * struct pgw_prompt - the properties of a prompt that the choice uses
+ * @parts: in order; the last part is not shared with other requests
  * @part_count: number of @parts
  * @tokens: size of the prompt
- * @output_tokens: most tokens of the answer
- * @isolated_to: workspace that alone may use its cached parts, NULL: all may
+ * @output_tokens: maximum number of tokens of the answer
+ * @isolated_to: the only workspace that may use its cached parts, NULL: all
+ *   may
  */
 struct pgw_prompt {
     struct pgw_prompt_part parts[PGW_PROMPT_PARTS_MAX];
@@ -44,22 +46,23 @@
 #define PGW_CACHE_SALT_SIZE 96
 
 /**
- * pgw_cache_salt() - text under which a prompt's parts are cached
- * @out: receives the text
- * @version: weights that compute them
- * @isolated_to: workspace that alone may use them, NULL: all may
+ * pgw_cache_salt() - salt under which a prompt's parts are cached
+ * @out: receives the salt
+ * @version: version of the weights that compute the parts
+ * @isolated_to: the only workspace that may use them, NULL: all may
  *
- * Neither engines nor their store look at version or workspace: a part that
- * is found under the same text is used. So the text names both.
+ * Neither the engines nor their KV store check the version or the workspace:
+ * they reuse any part that was saved under the same salt. Hence the salt
+ * contains both.
  */
 void pgw_cache_salt(char out[PGW_CACHE_SALT_SIZE], uint64_t version,
                     const char *isolated_to);
 
 /**
- * pgw_part_key() - identity of a cached part
+ * pgw_part_key() - key of a cached part
  * @model: name of the model
- * @salt: text that it is cached under
- * @id: pgw_part_id() of its id
+ * @salt: salt under which the part is cached
+ * @id: pgw_part_id() of the part's id
  */
 uint64_t pgw_part_key(const char *model, const char *salt, uint64_t id);
 
@@ -67,114 +70,122 @@
 uint64_t pgw_part_id(const char *text, size_t size);
 
 /**
- * struct pgw_choose_options - thresholds of the choice
- * @plain_depth: a plain upstream gets no more than this times its slots: its
- *   own short queue hides the time between two answers
- * @engine_depth: the same for engines, whose queue only delays
- * @home_depth: the same for homes of a prompt and for holders of its parts, in
- *   pools that are not weighed whole
- * @long_share: part of an engine's places that long prompts may take which it
- *   has not read yet
- * @stray_share: cost of reading shared parts on an engine that is no home of
- *   the prompt, in times their tokens: they are read again by who looks for
- *   them at the homes
- * @memory_share: part of an engine's memory that may be promised; preemption
- *   begins when it is full, and estimates of several entries overlap
- * @reading_ms: what this entry has an engine read at a time while most of its
- *   pool is away, in milliseconds of its reading: objectives are 300 to 1,000
- *   ms, and other entries have it read, too
- * @zone_tokens_per_kb: what a KiB of a request costs that crosses to another
- *   availability zone, in tokens: where such bytes are dear, 20 KB cost as
- *   much as reading 400 tokens again
- * @request_tokens: what each request at an engine delays another, in tokens:
- *   a step grows by half a percent with each, which is 10 to 20 tokens in the
- *   time of one answer
- * @harm_share: what reading a prompt's tokens costs each request that runs
- *   there, in times these tokens: steps that read take five times as long, so
- *   long prompts go where few others wait for their next token
- * @full_tokens: the same of an engine with all places taken
- * @long_prefill_tokens: what is left on average of a long prompt that an
- *   engine reads for another entry
- * @rank_share: cost of each rank further down, as a part of the shared tokens:
- *   settles where a prompt that is cached nowhere goes
- * @rank_tokens: the least cost of a rank, for short prompts
- * @reread_weight: cost of reading a shared part that no engine is known to
- *   hold, in times its tokens: it takes the engine's time from others, too
- * @fetch_tokens: cost of a fetch from another engine, in tokens: 2 ms
- * @fetch_share: and of each token that it moves: links carry seven to fifteen
- *   times what an engine reads
- * @fetch_min_tokens: less is read again rather than fetched; a fetch takes
- *   about two milliseconds
- * @failing_tokens: cost of an upstream that fails always
- * @old_ms: cost of older weights, in milliseconds of an engine's reading
- * @delay_share: what each millisecond costs that a request will run beyond the
- *   turn of an engine which is among the next to load, as a part of what an
- *   engine reads in it: until its runs have ended it serves nobody
- * @back_off: engines that refuse several times in a row are left alone
- * @bad_rate: failure rate above which an upstream counts as unhealthy
+ * struct pgw_choose_options - weights and limits of the choice
+ * @plain_max_load: maximum load of a plain upstream, in multiples of its
+ *   slots; a short queue there hides the time between two answers
+ * @engine_max_load: the same for engines, where a queue only adds delay
+ * @home_max_load: the same for homes of a prompt and for engines that hold all
+ *   of its shared parts, in pools of which only some are evaluated
+ * @long_prefill_share: share of an engine's slots that long prompts with
+ *   pending tokens may take
+ * @non_home_weight: cost of prefilling shared parts on an engine that is no
+ *   home of the prompt, in multiples of their tokens: entries that look for
+ *   the parts at the homes do not find them and prefill them again
+ * @kv_share: share of an engine's KV cache that may be reserved; a full cache
+ *   preempts requests, and the estimates of several entries overlap
+ * @max_backlog_ms: maximum prefill backlog of this entry at one engine while
+ *   most of its pool is unavailable, in milliseconds of prefill; latency
+ *   objectives are 300 to 1,000 ms, and other entries add their own backlog
+ * @remote_zone_tokens_per_kb: cost of each KiB of a request that is sent to
+ *   another availability zone, in tokens: where traffic between zones is
+ *   expensive, 20 KB cost as much as prefilling 400 tokens
+ * @running_cost_tokens: cost of each request that runs on an engine, in
+ *   tokens: each makes a decode step half a percent longer, which adds up to
+ *   10 to 20 tokens over one answer
+ * @prefill_interference_weight: cost of prefilling a prompt for each request
+ *   that runs on the engine, in multiples of the prompt's pending tokens:
+ *   steps with prefill take five times as long, so long prompts go where few
+ *   other requests are decoding
+ * @full_cost_tokens: extra cost of an engine with all slots taken, in tokens
+ * @long_prefill_tokens: assumed pending tokens of a long prompt that an engine
+ *   prefills for another entry
+ * @rank_cost_share: cost of each further rank, as a share of the shared
+ *   tokens; decides where a cold prompt goes
+ * @min_rank_cost_tokens: minimum cost of a rank, for short prompts
+ * @recompute_weight: cost of prefilling a shared part that no engine is known
+ *   to hold, in multiples of its tokens: prefill also delays the engine's
+ *   other requests
+ * @fetch_cost_tokens: fixed cost of a fetch from another engine, in tokens: 2
+ *   ms
+ * @fetch_cost_weight: cost of each fetched token, in tokens: links transfer 7
+ *   to 15 times as many tokens as an engine prefills in the same time
+ * @fetch_min_tokens: fewer missing tokens are prefilled rather than fetched; a
+ *   fetch takes about 2 ms
+ * @failure_cost_tokens: cost of an upstream whose failure rate is 1, in tokens
+ * @old_weights_cost_ms: cost of older weights, in milliseconds of prefill
+ * @load_delay_weight: cost of each millisecond by which a request delays the
+ *   load of new weights, as a share of the prefill possible in it: the engine
+ *   serves nothing new until its runs have ended
+ * @refusal_backoff_enabled: an engine that refuses several requests in a row
+ *   gets none for a backoff time
+ * @unhealthy_failure_rate: failure rate above which an upstream is unhealthy
  */
 struct pgw_choose_options {
-    double plain_depth;
-    double engine_depth;
-    double home_depth;
-    double long_share;
-    double stray_share;
-    double memory_share;
-    double reading_ms;
-    double zone_tokens_per_kb;
-    double request_tokens;
-    double harm_share;
-    double full_tokens;
+    double plain_max_load;
+    double engine_max_load;
+    double home_max_load;
+    double long_prefill_share;
+    double non_home_weight;
+    double kv_share;
+    double max_backlog_ms;
+    double remote_zone_tokens_per_kb;
+    double running_cost_tokens;
+    double prefill_interference_weight;
+    double full_cost_tokens;
     double long_prefill_tokens;
-    double rank_share;
-    double rank_tokens;
-    double reread_weight;
-    double fetch_tokens;
-    double fetch_share;
+    double rank_cost_share;
+    double min_rank_cost_tokens;
+    double recompute_weight;
+    double fetch_cost_tokens;
+    double fetch_cost_weight;
     uint32_t fetch_min_tokens;
-    double failing_tokens;
-    double old_ms;
-    double delay_share;
-    bool back_off;
-    double bad_rate;
+    double failure_cost_tokens;
+    double old_weights_cost_ms;
+    double load_delay_weight;
+    bool refusal_backoff_enabled;
+    double unhealthy_failure_rate;
 };
 
 #define PGW_CHOOSE_OPTIONS_INIT                                               \
     {                                                                         \
-        .plain_depth = 2.0, .engine_depth = 1.0, .home_depth = 2.0,           \
-        .long_share = 0.5, .stray_share = 1.0, .memory_share = 0.92,          \
-        .reading_ms = 400, .zone_tokens_per_kb = 20, .request_tokens = 20,    \
-        .harm_share = 0.02, .full_tokens = 2000, .long_prefill_tokens = 6000, \
-        .rank_share = 0.02, .rank_tokens = 15, .reread_weight = 2.5,          \
-        .fetch_tokens = 100, .fetch_share = 0.3, .fetch_min_tokens = 32,      \
-        .failing_tokens = 4000, .old_ms = 120, .delay_share = 0.33,           \
-        .back_off = true, .bad_rate = 0.35                                    \
+        .plain_max_load = 2.0, .engine_max_load = 1.0, .home_max_load = 2.0,  \
+        .long_prefill_share = 0.5, .non_home_weight = 1.0, .kv_share = 0.92,  \
+        .max_backlog_ms = 400, .remote_zone_tokens_per_kb = 20,               \
+        .running_cost_tokens = 20, .prefill_interference_weight = 0.02,       \
+        .full_cost_tokens = 2000, .long_prefill_tokens = 6000,                \
+        .rank_cost_share = 0.02, .min_rank_cost_tokens = 15,                  \
+        .recompute_weight = 2.5, .fetch_cost_tokens = 100,                    \
+        .fetch_cost_weight = 0.3, .fetch_min_tokens = 32,                     \
+        .failure_cost_tokens = 4000, .old_weights_cost_ms = 120,              \
+        .load_delay_weight = 0.33, .refusal_backoff_enabled = true,           \
+        .unhealthy_failure_rate = 0.35                                        \
     }
 
-/** pgw_choose_options_apply() - leave out what is switched off */
+/** pgw_choose_options_apply() - disable the terms of mechanisms that are off
+ */
 void pgw_choose_options_apply(struct pgw_choose_options *options,
                               const struct pgw_policy *policy);
 
 #define PGW_TRIED_MAX 8
 
 /**
- * struct pgw_choose_input - one question
- * @pool: upstreams of the service, NULL: there never was one
- * @tried: upstreams that had the request before
+ * struct pgw_choose_input - a request and the state to choose by
+ * @pool: upstreams of the service, NULL: none was ever known
+ * @tried: upstreams that earlier attempts of the request went to
  * @tried_count: number of @tried
- * @prompt: of an engine's request; NULL for a plain call
- * @homes: of the prompt, whose sidecars were asked; NULL: none
- * @model: whose weights; NULL for a plain call
- * @version: engines with older weights cost more, 0: none does
- * @least_version: engines with older weights are not used
- * @newest_version: engines with older weights will load it
+ * @prompt: prompt of an engine's request; NULL for a plain call
+ * @homes: homes of the prompt whose sidecars were probed; NULL: none
+ * @model: model of the request; NULL for a plain call
+ * @version: engines with older weights cost more, 0: no such cost
+ * @min_version: engines with older weights are not used
+ * @newest_version: engines with older weights are going to load this version
  * @size: bytes of the request
- * @run_ms: how long it runs once its prompt is read, as far as can be told
- * @read_rate: tokens that an engine reads in a millisecond
- * @turn_ms: how long an engine that is among the next to load waits for that
- * @kv_tokens: memory of one engine where it has not said
+ * @run_ms: estimated time from the end of prefill to the end of the answer
+ * @prefill_tokens_per_ms: prefill rate of an engine
+ * @load_wait_ms: how long an engine that loads next waits for its turn
+ * @kv_tokens: KV cache size of an engine that has not reported its own
  * @now_us: monotonic time
- * @random: settles between equals, and who of a large pool is weighed
+ * @random: breaks ties, and seeds the sample of a large pool
  */
 struct pgw_choose_input {
     const struct pgw_upstream_pool *pool;
@@ -184,28 +195,28 @@
     const struct pgw_homes *homes;
     const char *model;
     uint64_t version;
-    uint64_t least_version;
+    uint64_t min_version;
     uint64_t newest_version;
     size_t size;
     double run_ms;
-    double read_rate;
-    double turn_ms;
+    double prefill_tokens_per_ms;
+    double load_wait_ms;
     uint64_t kv_tokens;
     uint64_t now_us;
     uint64_t random;
 };
 
 /**
- * struct pgw_choice - the answer
- * @upstream: where to send it; NULL: nowhere now
- * @holder: another upstream that should hold the shared parts that @upstream
- *   lacks; NULL when there is none
+ * struct pgw_choice - result of pgw_choose()
+ * @upstream: the chosen upstream; NULL: none can take the request now
+ * @holder: another engine that holds more of the shared parts than @upstream;
+ *   NULL: none
  * @holder_missing: shared tokens that @holder lacks
  * @missing_tokens: shared tokens that @upstream lacks
  * @shared_tokens: all shared tokens of the prompt
- * @busy: some upstream could take it later
- * @retry_at_us: when the first one that refused of late is asked again; 0:
- *   none did
+ * @busy: some upstream may take the request later
+ * @retry_at_us: end of the earliest backoff or probe interval that ruled out
+ *   an upstream; 0: none did
  */
 struct pgw_choice {
     struct pgw_upstream *upstream;
@@ -217,14 +228,15 @@
     uint64_t retry_at_us;
 };
 
-/** pgw_prompt_chain() - the shared parts of a prompt, for ranking */
+/** pgw_prompt_chain() - shared parts of a prompt as a chain of levels, for
+ * ranking */
 void pgw_prompt_chain(struct pgw_level_chain *out,
                       const struct pgw_prompt *prompt);
 
-/** pgw_prompt_shared() - tokens of its shared parts */
+/** pgw_prompt_shared() - number of tokens in the shared parts */
 uint32_t pgw_prompt_shared(const struct pgw_prompt *prompt);
 
-/** pgw_choose() - pick an upstream */
+/** pgw_choose() - choose an upstream for a request */
 void pgw_choose(struct pgw_choice *out, const struct pgw_choose_input *input,
                 const struct pgw_choose_options *options);
 
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -282,8 +282,8 @@
         input.model = exchange->facts.model;
         input.run_ms =
             gateway->token_ms.value * exchange->facts.prompt.output_tokens;
-        input.turn_ms = gateway->turn_ms;
-        input.read_rate = gateway->read_rate.value;
+        input.load_wait_ms = gateway->load_wait_ms;
+        input.prefill_tokens_per_ms = gateway->prefill_tokens_per_ms.value;
         input.kv_tokens = service == NULL ? 0 : service->kv_tokens;
         input.size =
             HEAD_SIZE_GUESS + (exchange->caller == NULL
@@ -294,11 +294,12 @@
         input.newest_version = pgw_target_weights_newest(named);
         input.version = pgw_target_weights_oldest_usable(
             named,
-            pgw_policy_is_on(&gateway->options.policy, PGW_WEIGHTS_GRACE)
+            pgw_policy_is_on(&gateway->options.policy,
+                             PGW_MECHANISM_WEIGHTS_GRACE)
                 ? gateway->options.new_weights_us
                 : 0,
             input.now_us);
-        input.least_version = pgw_target_weights_oldest_usable(
+        input.min_version = pgw_target_weights_oldest_usable(
             named, gateway->options.old_weights_us,
             input.now_us +
                 exchange->facts.prompt.tokens * OLD_WEIGHTS_TOKEN_US);
--- a/src/gateway/engine_sidecar_orders.c
+++ b/src/gateway/engine_sidecar_orders.c
@@ -224,7 +224,7 @@
     model = &guard->models[guard->model_count++];
     model->model = g_strdup(name);
     options.report_lag_us = guard->options.report_lag_us;
-    if (!pgw_policy_is_on(&guard->options.policy, PGW_LOAD_DRAIN)) {
+    if (!pgw_policy_is_on(&guard->options.policy, PGW_MECHANISM_LOAD_DRAIN)) {
         options.drain_us = 0;
     }
     pgw_weights_order_init(&model->order, &options);
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -249,7 +249,8 @@
     if (far) {
         guard->told_far_us = guard->told_us;
         tell_group(guard, true, urgent,
-                   pgw_policy_is_on(&guard->options.policy, PGW_FAR_PARTS)
+                   pgw_policy_is_on(&guard->options.policy,
+                                    PGW_MECHANISM_REMOTE_PARTS)
                        ? pgw_report_budget_remote_parts_max(count_far(guard))
                        : 0);
     }
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -99,7 +99,8 @@
     announcement.count = count;
     if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL) &&
         gateway->sidecars != NULL &&
-        pgw_policy_is_on(&gateway->options.policy, PGW_EXPECTED_PARTS)) {
+        pgw_policy_is_on(&gateway->options.policy,
+                         PGW_MECHANISM_EXPECTED_PARTS)) {
         gateway->sidecars->announce(gateway->sidecars_context, upstream,
                                     &announcement);
         exchange->announced = announcement.to_read >= PGW_LONG_PREFILL;
@@ -110,7 +111,8 @@
 static const struct pgw_service *
 store_of(const struct pgw_exchange *exchange)
 {
-    return pgw_policy_is_on(&exchange->gateway->options.policy, PGW_STORE)
+    return pgw_policy_is_on(&exchange->gateway->options.policy,
+                            PGW_MECHANISM_STORE)
                ? pgw_route_table_kv_store(exchange->table,
                                           exchange->facts.prompt.parts[0].id)
                : NULL;
@@ -132,8 +134,8 @@
     };
     struct pgw_source source;
 
-    options.rest_from_store =
-        pgw_policy_is_on(&gateway->options.policy, PGW_STORE_REST);
+    options.rest_from_store = pgw_policy_is_on(&gateway->options.policy,
+                                               PGW_MECHANISM_STORE_REMAINDER);
     source = pgw_source_decide(&input, &options);
     if (source.from == PGW_SOURCE_ENGINE && choice->holder != NULL) {
         exchange->fetched = "engine";
@@ -194,7 +196,7 @@
     if (exchange->facts.model != NULL) {
         out->priority =
             pgw_policy_is_on(&exchange->gateway->options.policy,
-                             PGW_ROUTE_PRIORITY)
+                             PGW_MECHANISM_ROUTE_PRIORITY)
                 ? (int)MIN(exchange->route->priority * ROUTE_PRIORITY_STEP,
                            PGW_PRIORITIES - 1)
                 : 0;
--- a/src/gateway/home_probe.c
+++ b/src/gateway/home_probe.c
@@ -144,7 +144,8 @@
     return gateway->sidecars != NULL && exchange->facts.model != NULL &&
            exchange->facts.prompt.part_count > 0 &&
            pgw_prompt_shared(&exchange->facts.prompt) >= PGW_LONG_PREFILL &&
-           pgw_policy_is_on(&gateway->options.policy, PGW_HOME_PROBES) &&
+           pgw_policy_is_on(&gateway->options.policy,
+                            PGW_MECHANISM_HOME_PROBES) &&
            !pgw_list_is_linked(&exchange->waiting.link) &&
            (exchange->probed_at_us == 0 ||
             pgw_now_us() - exchange->probed_at_us >= ANSWER_FRESH_US);
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -7,64 +7,75 @@
 /**
  * DOC: Mechanisms that can be switched off
  *
- * Each mechanism that decides for a gain, and not for a promise, has a name
- * and can be switched off alone, by a file that a process is started with:
- * {"off": ["load_next"]}. So an operator can take one out that does harm, and
- * what it is worth can be measured. Safeguards have no switch here.
+ * Each mechanism that improves performance and is not needed for correctness
+ * has a name. A process can be started with a file that switches it off:
+ * {"off": ["load_next"]}. An operator can so disable a mechanism that does
+ * damage, and its benefit can be measured. Safeguards of correctness have no
+ * switch here.
  */
 
 /**
- * enum pgw_mechanism - what can be switched off, and what happens then
- * @PGW_LOAD_WINDOW: all engines load named weights at once
- * @PGW_LOAD_NEXT: engines that load next get long runs like any other
- * @PGW_LOAD_DRAIN: engines load whatever waits in their queue
- * @PGW_WEIGHTS_GRACE: older weights cost from the naming on
- * @PGW_WEIGHTS_PRICE: older weights cost nothing
- * @PGW_FAR_PARTS: entries of other zones do not hear what engines hold
- * @PGW_EXPECTED_PARTS: nor does any of what other entries have sent
- * @PGW_ENGINE_FETCH: nothing is fetched from another engine
- * @PGW_STORE: the store of kept memory is not used
- * @PGW_STORE_REST: a holder of some parts is asked for all
- * @PGW_PROMPT_RANK: cold prompts have no home
- * @PGW_LONG_PREFILLS: long prompts that others read are not counted
- * @PGW_CROWD_HARM: long prompts go beside running requests as short ones do
- * @PGW_REFUSAL_REST: engines that refuse several times in a row do not rest
- * @PGW_ROUTE_PRIORITY: engines are told one urgency for all
- * @PGW_HOME_PROBES: prompts stay in the entry's zone if its pool is large
- * @PGW_MECHANISMS: number of these
+ * enum pgw_mechanism - mechanisms, and what happens while each is off
+ * @PGW_MECHANISM_LOAD_WINDOW: all engines load a target version at once
+ * @PGW_MECHANISM_LOAD_NEXT: engines that load next get long requests like any
+ *   other engine
+ * @PGW_MECHANISM_LOAD_DRAIN: engines load without draining their queue first
+ * @PGW_MECHANISM_WEIGHTS_GRACE: older weights cost more as soon as a target
+ *   version is announced
+ * @PGW_MECHANISM_OLD_WEIGHTS_COST: older weights cost nothing
+ * @PGW_MECHANISM_REMOTE_PARTS: cached parts are not reported to entries of
+ *   other zones
+ * @PGW_MECHANISM_EXPECTED_PARTS: entries do not announce the requests that
+ *   they send
+ * @PGW_MECHANISM_ENGINE_FETCH: nothing is fetched from another engine
+ * @PGW_MECHANISM_STORE: the KV store is not used
+ * @PGW_MECHANISM_STORE_REMAINDER: an engine that holds only some of the parts
+ *   is preferred to the KV store
+ * @PGW_MECHANISM_PROMPT_RANK: cold prompts are not ranked by rendezvous
+ *   hashing
+ * @PGW_MECHANISM_LONG_PREFILLS: long prompts of other entries are not counted
+ * @PGW_MECHANISM_PREFILL_INTERFERENCE: long prompts go to busy engines as
+ *   short ones do
+ * @PGW_MECHANISM_REFUSAL_BACKOFF: engines that refuse several requests in a
+ *   row get no backoff
+ * @PGW_MECHANISM_ROUTE_PRIORITY: engines get the same priority for all
+ *   requests
+ * @PGW_MECHANISM_HOME_PROBES: prompts stay in the entry's zone if its pool is
+ *   large
+ * @PGW_MECHANISM_COUNT: number of mechanisms
  */
 enum pgw_mechanism {
-    PGW_LOAD_WINDOW,
-    PGW_LOAD_NEXT,
-    PGW_LOAD_DRAIN,
-    PGW_WEIGHTS_GRACE,
-    PGW_WEIGHTS_PRICE,
-    PGW_FAR_PARTS,
-    PGW_EXPECTED_PARTS,
-    PGW_ENGINE_FETCH,
-    PGW_STORE,
-    PGW_STORE_REST,
-    PGW_PROMPT_RANK,
-    PGW_LONG_PREFILLS,
-    PGW_CROWD_HARM,
-    PGW_REFUSAL_REST,
-    PGW_ROUTE_PRIORITY,
-    PGW_HOME_PROBES,
-    PGW_MECHANISMS,
+    PGW_MECHANISM_LOAD_WINDOW,
+    PGW_MECHANISM_LOAD_NEXT,
+    PGW_MECHANISM_LOAD_DRAIN,
+    PGW_MECHANISM_WEIGHTS_GRACE,
+    PGW_MECHANISM_OLD_WEIGHTS_COST,
+    PGW_MECHANISM_REMOTE_PARTS,
+    PGW_MECHANISM_EXPECTED_PARTS,
+    PGW_MECHANISM_ENGINE_FETCH,
+    PGW_MECHANISM_STORE,
+    PGW_MECHANISM_STORE_REMAINDER,
+    PGW_MECHANISM_PROMPT_RANK,
+    PGW_MECHANISM_LONG_PREFILLS,
+    PGW_MECHANISM_PREFILL_INTERFERENCE,
+    PGW_MECHANISM_REFUSAL_BACKOFF,
+    PGW_MECHANISM_ROUTE_PRIORITY,
+    PGW_MECHANISM_HOME_PROBES,
+    PGW_MECHANISM_COUNT,
 };
 
 /**
- * struct pgw_policy - which are on; zeroed: all
- * @off: those that are not
+ * struct pgw_policy - mechanisms that are switched off; zeroed: none
+ * @off: by mechanism
  */
 struct pgw_policy {
-    bool off[PGW_MECHANISMS];
+    bool off[PGW_MECHANISM_COUNT];
 };
 
-/** pgw_mechanism_name() - as in files and logs */
+/** pgw_mechanism_name() - name in files and logs */
 const char *pgw_mechanism_name(enum pgw_mechanism mechanism);
 
-/** pgw_policy_is_on() - whether a mechanism works */
+/** pgw_policy_is_on() - whether a mechanism is on */
 static inline bool
 pgw_policy_is_on(const struct pgw_policy *policy, enum pgw_mechanism mechanism)
 {
@@ -72,16 +83,15 @@
 }
 
 /**
- * pgw_policy_load() - read a file
- * @out: receives it
+ * pgw_policy_load() - read a policy file
+ * @out: receives the policy
  * @path: JSON file
- * @error: %PGW_ERROR_INVALID names what is wrong and what may be written;
- *   others as from pgw_json_load()
+ * @error: %PGW_ERROR_INVALID names the unknown mechanism and lists the known
+ *   ones; others as from pgw_json_load()
  */
 bool pgw_policy_load(struct pgw_policy *out, const char *path, GError **error);
 
-/** pgw_policy_log() - one line for each that is off, and the count as metric
- */
+/** pgw_policy_log() - log each mechanism that is off, and set the metric */
 void pgw_policy_log(const struct pgw_policy *policy);
 
 #endif
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -491,7 +491,7 @@
         .reports = reports_reach(links, &engines),
         .probes = engines.all <= PGW_PROBE_LINKS_MAX &&
                   pgw_policy_is_on(pgw_gateway_policy(links->gateway),
-                                   PGW_HOME_PROBES),
+                                   PGW_MECHANISM_HOME_PROBES),
     };
     uint64_t now = pgw_now_us();
     GHashTableIter iter;
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -190,7 +190,7 @@
     unsigned size;
 
     if (!pgw_policy_is_on(pgw_gateway_policy(links->gateway),
-                          PGW_LOAD_WINDOW)) {
+                          PGW_MECHANISM_LOAD_WINDOW)) {
         options.share = 1.0;
     }
     g_hash_table_iter_init(&iter, links->by_engine);
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -264,7 +264,7 @@
 
     g_assert_true(pgw_address_parse(&options.listen, LOOPBACK ":0", NULL));
     /* One place means one request at a time. */
-    options.choose.plain_depth = 1.0;
+    options.choose.plain_max_load = 1.0;
     /* Nothing is waited for, so crashes follow each other closely. */
     options.poison.apart_us = 0;
     scene->loop = pgw_loop_new(NULL);
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -42,9 +42,9 @@
     pool->input.now_us = NOW;
 }
 
-/* A prompt of a shared part of @shared tokens and 300 of its own. */
+/* A prompt with a shared part of @shared tokens and 300 tokens of its own. */
 static void
-ask_prompt(struct pool *pool, uint32_t shared)
+set_prompt(struct pool *pool, uint32_t shared)
 {
     pool->prompt = (struct pgw_prompt){
         .parts = {{.id = 11, .tokens = shared}, {.id = 12, .tokens = 300}},
@@ -55,7 +55,7 @@
     pool->input.prompt = &pool->prompt;
     pool->input.model = MODEL;
     pool->input.kv_tokens = 140000;
-    pool->input.read_rate = 60;
+    pool->input.prefill_tokens_per_ms = 60;
 }
 
 static struct pgw_choice
@@ -77,34 +77,34 @@
 }
 
 static void
-test_plain_takes_the_least_loaded_nearby(void)
+test_plain_call_takes_least_loaded_local(void)
 {
     struct pool pool;
-    struct pgw_upstream *near;
-    struct pgw_upstream *far;
+    struct pgw_upstream *local;
+    struct pgw_upstream *remote;
 
     pool_init(&pool);
-    near = add(&pool, "near", "a", 1);
-    far = add(&pool, "far", "b", 2);
-    near->inflight = 4;
-    g_assert_true(choose(&pool).upstream == near);
-    near->inflight = 9;
-    g_assert_true(choose(&pool).upstream == far);
-    near->inflight = 24;
-    far->inflight = 24;
+    local = add(&pool, "local", "a", 1);
+    remote = add(&pool, "remote", "b", 2);
+    local->inflight = 4;
+    g_assert_true(choose(&pool).upstream == local);
+    local->inflight = 9;
+    g_assert_true(choose(&pool).upstream == remote);
+    local->inflight = 24;
+    remote->inflight = 24;
     g_assert_null(choose(&pool).upstream);
     g_assert_true(choose(&pool).busy);
     pgw_upstream_table_free(pool.table);
 }
 
 /*
- * An engine loads new weights, and the word of its sidecar does not get here.
- * It refuses one request after the other, at once, so that it looks idle; the
- * other one is full. Requests must wait for a place rather than be refused as
- * well, each of them taking a repeat from the budget.
+ * An engine loads new weights and its sidecar's reports do not arrive. It
+ * refuses each request at once and so looks idle, while the other engine is
+ * full. Requests must stay queued rather than be refused as well, each taking
+ * a retry from the budget.
  */
 static void
-test_refusing_upstream_rests(void)
+test_refusing_engine_gets_backoff(void)
 {
     struct pool pool;
     struct pgw_upstream *loading;
@@ -113,7 +113,7 @@
     pool_init(&pool);
     loading = add(&pool, "loading", "a", 1);
     full = add(&pool, "full", "a", 2);
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     full->inflight = full->slots;
     g_assert_true(choose(&pool).upstream == loading);
     for (unsigned i = 0; i < 4; i++) {
@@ -125,11 +125,12 @@
     g_assert_cmpuint(choose(&pool).retry_at_us, ==, NOW + 240000);
     pool.input.now_us = NOW + 240000;
     g_assert_true(choose(&pool).upstream == loading);
-    /* One that answers in between was merely full for a moment. */
+    /* A success in between means that the engine was only full for a moment.
+     */
     pgw_upstream_note(loading, PGW_RESULT_GOOD, NOW + 240000);
     pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_true(choose(&pool).upstream == loading);
-    /* Its sidecar's word that it has loaded ends the rest. */
+    /* The sidecar's report that the load is complete ends the backoff. */
     pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
     pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_null(choose(&pool).upstream);
@@ -164,10 +165,9 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* One upstream breaks every request: the others are asked, and it is asked
- * only where nobody else is left. */
+/* An upstream that fails requests is chosen only if no other is available. */
 static void
-test_failing_one_comes_last(void)
+test_failing_upstream_comes_last(void)
 {
     struct pool pool;
     struct pgw_upstream *bad;
@@ -184,8 +184,8 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* The engine that holds the shared part gets the prompt; when it is full the
- * next one fetches the part from it. */
+/* The engine that holds the shared part gets the prompt. When it is full, the
+ * next engine fetches the part from it. */
 static void
 test_prompt_follows_its_cached_part(void)
 {
@@ -200,7 +200,7 @@
         g_snprintf(id, sizeof(id), "e%u", i);
         engines[i] = add(&pool, id, i < 2 ? "a" : "b", 1 + i);
     }
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     for (unsigned i = 0; i < 4; i++) {
         pgw_upstream_hold(engines[i], shared_key(1), 13000);
         choice = choose(&pool);
@@ -217,10 +217,10 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* Cached under older weights is not cached, and a holder that runs other
- * weights than the chosen engine is none. */
+/* A part that was cached with older weights does not count, and only an engine
+ * with the same weights as the chosen one can be the holder. */
 static void
-test_weights_part_caches(void)
+test_cached_parts_depend_on_weights(void)
 {
     struct pool pool;
     struct pgw_upstream *old;
@@ -233,7 +233,7 @@
     pgw_upstream_set_version(new, MODEL, 2);
     pgw_upstream_hold(old, shared_key(1), 13000);
     old->inflight = 12;
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     pool.input.version = 2;
     choice = choose(&pool);
     g_assert_true(choice.upstream == new);
@@ -243,26 +243,26 @@
 }
 
 static void
-test_old_weights_have_an_end(void)
+test_weights_below_minimum_are_not_used(void)
 {
     struct pool pool;
     struct pgw_upstream *old;
 
     pool_init(&pool);
     old = add(&pool, "old", "a", 1);
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     pool.input.version = 2;
-    pool.input.least_version = 1;
+    pool.input.min_version = 1;
     g_assert_true(choose(&pool).upstream == old);
-    pool.input.least_version = 2;
+    pool.input.min_version = 2;
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
 }
 
-/* 12 places are free but the memory is not: a 17,000 token prompt must wait,
- * a short one need not. */
+/* Slots are free but the KV cache is nearly full: a prompt of 17,000 tokens
+ * must wait, a short one need not. */
 static void
-test_memory_bounds_long_prompts(void)
+test_kv_cache_limits_long_prompts(void)
 {
     struct pool pool;
     struct pgw_upstream *engine;
@@ -272,17 +272,17 @@
     pool_init(&pool);
     engine = add(&pool, "e", "a", 1);
     pgw_upstream_take_load(engine, &load, NOW);
-    ask_prompt(&pool, 17000);
+    set_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     g_assert_true(choose(&pool).upstream == engine);
     pgw_upstream_table_free(pool.table);
 }
 
-/* An answer's head reports requests only. It must not make the engine's memory
- * look empty, or long prompts preempt what runs there. */
+/* The load in an answer's head counts requests only. It must not make the KV
+ * cache look empty, or long prompts preempt what runs there. */
 static void
-test_answers_do_not_hide_memory(void)
+test_answer_keeps_reported_kv_use(void)
 {
     struct pool pool;
     struct pgw_upstream *engine;
@@ -294,15 +294,15 @@
     engine = add(&pool, "e", "a", 1);
     pgw_upstream_take_load(engine, &report, NOW);
     pgw_upstream_take_load(engine, &head, NOW);
-    ask_prompt(&pool, 17000);
+    set_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
 }
 
-/* Short prompts keep away from an engine that reads a long one for another
- * entry: each of its steps takes five times as long meanwhile. */
+/* Short prompts avoid an engine that prefills a long one for another entry,
+ * which makes each of its steps take five times as long. */
 static void
-test_short_prompts_avoid_long_reads(void)
+test_short_prompts_avoid_long_prefills(void)
 {
     struct pool pool;
     struct pgw_upstream *busy;
@@ -313,7 +313,7 @@
     pool_init(&pool);
     busy = add(&pool, "busy", "a", 1);
     idle = add(&pool, "idle", "a", 2);
-    ask_prompt(&pool, 60);
+    set_prompt(&pool, 60);
     idle->inflight = 3;
     g_assert_true(choose(&pool).upstream == busy);
     pgw_upstream_take_load(busy, &reading, NOW);
@@ -321,7 +321,7 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* Three zones with 400 upstreams each, "a" listed last. */
+/* Three zones with 400 upstreams each, the local zone "a" listed last. */
 static void
 add_many(struct pool *pool)
 {
@@ -336,11 +336,12 @@
 }
 
 /*
- * Entries that decide on the same reports see the same idle upstreams. Each
- * draws among equals, so that they do not all send to the first in the list.
+ * Entries that decide on the same reports see the same idle upstreams. Ties
+ * are broken at random, so that they do not all send to the first upstream in
+ * the list.
  */
 static void
-test_equals_share_calls(void)
+test_ties_are_broken_at_random(void)
 {
     struct pool pool;
     unsigned got[4] = {0};
@@ -362,16 +363,16 @@
 }
 
 /*
- * 1,200 upstreams, the own zone's ones at the end of the list. Calls stay in
- * the zone, and no upstream gets more than a few of 4,000; once the zone is
- * full they leave it.
+ * 1,200 upstreams, those of the local zone at the end of the list. Calls stay
+ * in the zone and spread over its upstreams; once the zone is full, calls go
+ * to the other zones.
  */
 static void
-test_large_pool_is_used_whole(void)
+test_large_pool_stays_local_until_full(void)
 {
     struct pool pool;
     unsigned got[1200] = {0};
-    const GPtrArray *near;
+    const GPtrArray *local;
 
     pool_init(&pool);
     add_many(&pool);
@@ -386,19 +387,19 @@
     for (unsigned i = 0; i < 1200; i++) {
         g_assert_cmpuint(got[i], <, 40);
     }
-    near = pool.input.pool->near;
-    g_assert_cmpuint(near->len, ==, 400);
-    for (unsigned i = 0; i < near->len; i++) {
-        ((struct pgw_upstream *)g_ptr_array_index(near, i))->inflight = 24;
+    local = pool.input.pool->near;
+    g_assert_cmpuint(local->len, ==, 400);
+    for (unsigned i = 0; i < local->len; i++) {
+        ((struct pgw_upstream *)g_ptr_array_index(local, i))->inflight = 24;
     }
     g_assert_false(choose(&pool).upstream->same_zone);
     pgw_upstream_table_free(pool.table);
 }
 
 /*
- * A prompt that is cached nowhere has one home in a large pool, whatever is
- * drawn; other prompts have other homes; and when the homes of one are full
- * it still finds an engine.
+ * A cold prompt has one home in a large pool, whatever the random sample.
+ * Other prompts have other homes. When the homes of a prompt are full, it
+ * still finds an engine.
  */
 static void
 test_prompts_have_homes_in_a_large_pool(void)
@@ -409,7 +410,7 @@
 
     pool_init(&pool);
     add_many(&pool);
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     home = choose(&pool).upstream;
     g_assert_true(home->same_zone);
     for (unsigned i = 0; i < 50; i++) {
@@ -442,19 +443,19 @@
     pgw_homes_pick(out, pool->input.pool, &chain, PGW_HOMES_MAX, NOW);
 }
 
-/* Guards against entries that look for a prompt's parts at different engines,
- * since they are in different zones or list the engines in another order. */
+/* Guards against entries that look for a prompt's parts at different engines
+ * because they are in different zones or list the engines in another order. */
 static void
-test_homes_are_the_same_for_all(void)
+test_homes_are_the_same_for_all_entries(void)
 {
     struct pool pool;
     struct pool other;
     struct pgw_homes homes;
-    struct pgw_homes homes_of_other;
+    struct pgw_homes homes_at_other;
 
     pool_init(&pool);
     add_many(&pool);
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     pick_homes(&homes, &pool);
     pool_init(&other);
     for (unsigned i = 1200; i > 0; i--) {
@@ -463,21 +464,21 @@
         g_snprintf(id, sizeof(id), "u%u", i - 1);
         add(&other, id, "a", 1000 + i - 1);
     }
-    ask_prompt(&other, 13000);
-    pick_homes(&homes_of_other, &other);
+    set_prompt(&other, 13000);
+    pick_homes(&homes_at_other, &other);
     g_assert_cmpuint(homes.count, ==, PGW_HOMES_MAX);
-    g_assert_cmpuint(homes_of_other.count, ==, PGW_HOMES_MAX);
+    g_assert_cmpuint(homes_at_other.count, ==, PGW_HOMES_MAX);
     for (size_t i = 0; i < PGW_HOMES_MAX; i++) {
-        g_assert_cmpstr(homes.items[i]->id, ==, homes_of_other.items[i]->id);
+        g_assert_cmpstr(homes.items[i]->id, ==, homes_at_other.items[i]->id);
     }
     pgw_upstream_table_free(other.table);
     pgw_upstream_table_free(pool.table);
 }
 
-/* Guards against a prompt that leaves its homes for the first free place: it
- * waits for them while they are full, and not while they will load weights. */
+/* Guards against a prompt that leaves its homes for the first free slot: it
+ * queues at full homes, but not at homes that are going to load weights. */
 static void
-test_full_home_is_worth_a_wait(void)
+test_prompt_queues_at_full_home(void)
 {
     struct pool pool;
     struct pgw_homes homes;
@@ -485,7 +486,7 @@
 
     pool_init(&pool);
     add_many(&pool);
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     pick_homes(&homes, &pool);
     pool.input.homes = &homes;
     for (size_t i = 0; i < homes.count; i++) {
@@ -502,10 +503,10 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* Guards against an engine whose places are all taken by prompts that wait to
- * be read, and which puts them back for more urgent requests. */
+/* Guards against an engine whose slots are all taken by prompts that wait for
+ * prefill, and which it preempts for more urgent requests. */
 static void
-test_long_prompts_leave_places(void)
+test_long_prompts_leave_slots(void)
 {
     struct pool pool;
     struct pgw_upstream *busy;
@@ -517,9 +518,9 @@
     pgw_upstream_hold(busy, shared_key(1), 13000);
     busy->long_prefills = busy->slots / 2;
     other->inflight = other->slots - 1;
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     g_assert_true(choose(&pool).upstream == busy);
-    ask_prompt(&pool, 13000);
+    set_prompt(&pool, 13000);
     pool.prompt.parts[1].tokens = 4000;
     pool.prompt.tokens = 17000;
     g_assert_true(choose(&pool).upstream == other);
@@ -530,11 +531,11 @@
 
 /*
  * An engine is about to load new weights, for which its runs have to end. It
- * is the idler one, so a short answer goes there; one that runs for a second
- * goes to the other, or the engine would be away for a second more.
+ * has less load, so a short request goes there. A request that runs for a
+ * second goes to the other engine, or the load would start a second later.
  */
 static void
-test_long_runs_avoid_an_engine_about_to_load(void)
+test_long_runs_avoid_engine_that_loads_next(void)
 {
     struct pool pool;
     struct pgw_upstream *next;
@@ -546,24 +547,25 @@
     next->loads_next = true;
     other->inflight = 3;
     other->prefill_tokens = 3000;
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     pool.input.run_ms = 30;
     g_assert_true(choose(&pool).upstream == next);
     pool.input.run_ms = 1000;
     g_assert_true(choose(&pool).upstream == other);
-    /* Its turn comes only after that. */
-    pool.input.turn_ms = 970;
+    /* The engine loads only after the request has ended. */
+    pool.input.load_wait_ms = 970;
     g_assert_true(choose(&pool).upstream == next);
     pgw_upstream_table_free(pool.table);
 }
 
 /*
- * Few engines have loaded, and all that come are sent there. Once what waits
- * there takes longer to read than older weights are worth, requests begin on
- * older ones; while answers with these count in full they do so at once.
+ * Few engines have loaded the new weights, and requests go there. Once their
+ * backlog costs more than older weights do, requests go to engines with older
+ * weights, too; while answers with older weights count in full, they do so at
+ * once.
  */
 static void
-test_old_weights_have_a_price(void)
+test_old_weights_have_a_cost(void)
 {
     struct pool pool;
     struct pgw_upstream *old;
@@ -573,7 +575,7 @@
     old = add(&pool, "old", "a", 1);
     new = add(&pool, "new", "a", 2);
     pgw_upstream_set_version(new, MODEL, 2);
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     pool.input.version = 2;
     new->prefill_tokens = 5000;
     g_assert_true(choose(&pool).upstream == new);
@@ -585,10 +587,10 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* An engine that holds the first of two parts is named as a holder, with what
- * it lacks. */
+/* An engine that holds the first of two shared parts is returned as holder,
+ * with the number of tokens that it lacks. */
 static void
-test_holder_of_some_parts(void)
+test_holder_lacks_some_parts(void)
 {
     struct pool pool;
     struct pgw_upstream *holder;
@@ -597,7 +599,7 @@
     pool_init(&pool);
     holder = add(&pool, "holder", "a", 1);
     add(&pool, "chosen", "a", 2);
-    ask_prompt(&pool, 500);
+    set_prompt(&pool, 500);
     pool.prompt.parts[2] = pool.prompt.parts[1];
     pool.prompt.parts[1] = (struct pgw_prompt_part){.id = 13, .tokens = 4870};
     pool.prompt.part_count = 3;
@@ -613,74 +615,75 @@
 }
 
 /*
- * An engine's machine is suspended: nothing comes from it or its sidecar. It
- * runs nothing that this entry knows of, so it looks idle, and the other one
- * is full. Requests must wait for a place, where they can still be refused
- * truthfully, rather than be sent where nobody takes them; one a second may,
- * since only an answer shows that the sidecar alone stands still.
+ * An engine's machine is suspended: neither the engine nor its sidecar sends
+ * anything. It looks idle, since this entry has no requests there, and the
+ * other engine is full. Requests must stay queued, where they can still be
+ * refused as not run, rather than be sent to the suspended machine. One
+ * request a second may be sent as a probe, since only an answer shows that
+ * just the sidecar is unresponsive.
  */
 static void
-test_silent_upstream_is_left_alone(void)
+test_unresponsive_engine_gets_one_probe(void)
 {
     struct pool pool;
-    struct pgw_upstream *silent;
+    struct pgw_upstream *unresponsive;
     struct pgw_upstream *other;
 
     pool_init(&pool);
-    silent = add(&pool, "silent", "a", 1);
+    unresponsive = add(&pool, "silent", "a", 1);
     other = add(&pool, "other", "a", 2);
-    ask_prompt(&pool, 100);
+    set_prompt(&pool, 100);
     other->inflight = 4;
-    pgw_upstream_note_seen(silent, NOW - 1000000);
-    g_assert_true(choose(&pool).upstream == silent);
-    pgw_upstream_note_seen(silent, NOW - 1500000);
+    pgw_upstream_note_seen(unresponsive, NOW - 1000000);
+    g_assert_true(choose(&pool).upstream == unresponsive);
+    pgw_upstream_note_seen(unresponsive, NOW - 1500000);
     g_assert_true(choose(&pool).upstream == other);
     other->inflight = other->slots;
-    g_assert_true(choose(&pool).upstream == silent);
+    g_assert_true(choose(&pool).upstream == unresponsive);
 
-    pgw_upstream_note_seen(silent, NOW - 3000000);
-    g_assert_true(choose(&pool).upstream == silent);
-    pgw_upstream_probe(silent, NOW);
+    pgw_upstream_note_seen(unresponsive, NOW - 3000000);
+    g_assert_true(choose(&pool).upstream == unresponsive);
+    pgw_upstream_probe(unresponsive, NOW);
     g_assert_null(choose(&pool).upstream);
     g_assert_true(choose(&pool).busy);
     g_assert_cmpuint(choose(&pool).retry_at_us, ==, NOW + 1000000);
     pool.input.now_us = NOW + 1000000;
-    g_assert_true(choose(&pool).upstream == silent);
+    g_assert_true(choose(&pool).upstream == unresponsive);
 
-    /* Its own answer counts like its sidecar's word. */
-    pgw_upstream_probe(silent, pool.input.now_us);
-    pgw_upstream_note_answer(silent, pool.input.now_us);
-    g_assert_true(choose(&pool).upstream == silent);
+    /* An answer of the engine counts like a report of its sidecar. */
+    pgw_upstream_probe(unresponsive, pool.input.now_us);
+    pgw_upstream_note_answer(unresponsive, pool.input.now_us);
+    g_assert_true(choose(&pool).upstream == unresponsive);
     pgw_upstream_table_free(pool.table);
 }
 
 /*
- * All engines but one are away for new weights, and many requests wait. If all
- * of them are sent to that one, those that may not run twice are stuck there
- * when the next engine is back, or when the machine of this one stands still.
- * It gets what it reads in 400 ms, and one prompt however long; what is left
- * waits here and goes to the next one.
+ * All engines but one load new weights, and many requests are queued. If all
+ * of them are sent to that engine, those that must not run twice are stuck
+ * there when the next engine comes back, or when this machine hangs. The
+ * engine gets a backlog of 400 ms of prefill, or one prompt of any length; the
+ * rest stays queued for the next free engine.
  */
 static void
-test_reading_is_not_piled_up(void)
+test_backlog_is_limited(void)
 {
     struct pool pool;
     struct pgw_upstream *first;
-    struct pgw_upstream *away[4];
+    struct pgw_upstream *unavailable[4];
     struct pgw_upstream *next;
 
     pool_init(&pool);
     first = add(&pool, "first", "a", 1);
-    for (unsigned i = 0; i < G_N_ELEMENTS(away); i++) {
+    for (unsigned i = 0; i < G_N_ELEMENTS(unavailable); i++) {
         char id[8];
 
         g_snprintf(id, sizeof(id), "away%u", i);
-        away[i] = add(&pool, id, "a", 10 + i);
-        pgw_upstream_set_loading(away[i], true, NOW + 1000000);
+        unavailable[i] = add(&pool, id, "a", 10 + i);
+        pgw_upstream_set_loading(unavailable[i], true, NOW + 1000000);
     }
     first->slots = 64;
-    ask_prompt(&pool, 3700);
-    /* 60 tokens a ms: 24,000 tokens in 400 ms, six prompts of 4,000. */
+    set_prompt(&pool, 3700);
+    /* At 60 tokens per ms, 400 ms are 24,000 tokens: six prompts of 4,000. */
     for (unsigned i = 0; i < 6; i++) {
         g_assert_true(choose(&pool).upstream == first);
         first->inflight++;
@@ -691,24 +694,25 @@
     next = add(&pool, "next", "a", 2);
     g_assert_true(choose(&pool).upstream == next);
 
-    /* Where most of the pool is there the costs decide. */
+    /* While most of the pool is available, only the costs decide. */
     next->inflight = next->slots;
     g_assert_null(choose(&pool).upstream);
-    pgw_upstream_set_loading(away[0], false, 0);
-    away[0]->inflight = away[0]->slots;
+    pgw_upstream_set_loading(unavailable[0], false, 0);
+    unavailable[0]->inflight = unavailable[0]->slots;
     g_assert_true(choose(&pool).upstream == first);
-    pgw_upstream_set_loading(away[0], true, NOW + 1000000);
+    pgw_upstream_set_loading(unavailable[0], true, NOW + 1000000);
 
-    ask_prompt(&pool, 60000);
+    set_prompt(&pool, 60000);
     next->inflight = 1;
     g_assert_true(choose(&pool).upstream == next);
     pgw_upstream_table_free(pool.table);
 }
 
-/* Nobody speaks for a plain upstream, or for an engine whose sidecar's machine
- * has said that it does not run: that none does says nothing. */
+/* An upstream without a sidecar sends no reports, and neither does an engine
+ * whose machine has reported that its sidecar is not running: missing reports
+ * do not make either of them unresponsive. */
 static void
-test_silence_without_sidecar(void)
+test_no_sidecar_is_responsive(void)
 {
     struct pool pool;
     struct pgw_upstream *upstream;
@@ -723,53 +727,65 @@
 }
 
 static void
-test_switched_off(void)
+test_policy_disables_costs(void)
 {
-    struct pgw_choose_options changed = options;
+    struct pgw_choose_options applied = options;
     struct pgw_policy policy = {0};
 
-    pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, options.old_ms);
-    g_assert_true(changed.back_off);
-    policy.off[PGW_WEIGHTS_PRICE] = true;
-    policy.off[PGW_REFUSAL_REST] = true;
-    pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, 0);
-    g_assert_cmpfloat(changed.delay_share, ==, options.delay_share);
-    g_assert_false(changed.back_off);
+    pgw_choose_options_apply(&applied, &policy);
+    g_assert_cmpfloat(applied.old_weights_cost_ms, ==,
+                      options.old_weights_cost_ms);
+    g_assert_true(applied.refusal_backoff_enabled);
+    policy.off[PGW_MECHANISM_OLD_WEIGHTS_COST] = true;
+    policy.off[PGW_MECHANISM_REFUSAL_BACKOFF] = true;
+    pgw_choose_options_apply(&applied, &policy);
+    g_assert_cmpfloat(applied.old_weights_cost_ms, ==, 0);
+    g_assert_cmpfloat(applied.load_delay_weight, ==,
+                      options.load_delay_weight);
+    g_assert_false(applied.refusal_backoff_enabled);
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/choose/plain", test_plain_takes_the_least_loaded_nearby);
-    g_test_add_func("/choose/left_out",
+    g_test_add_func("/choose/plain", test_plain_call_takes_least_loaded_local);
+    g_test_add_func("/choose/excluded",
                     test_leaving_loading_and_tried_are_left_out);
-    g_test_add_func("/choose/failing", test_failing_one_comes_last);
+    g_test_add_func("/choose/failing", test_failing_upstream_comes_last);
     g_test_add_func("/choose/cached_part",
                     test_prompt_follows_its_cached_part);
-    g_test_add_func("/choose/weights", test_weights_part_caches);
-    g_test_add_func("/choose/old_weights", test_old_weights_have_an_end);
-    g_test_add_func("/choose/memory", test_memory_bounds_long_prompts);
-    g_test_add_func("/choose/answers_and_memory",
-                    test_answers_do_not_hide_memory);
-    g_test_add_func("/choose/long_reads", test_short_prompts_avoid_long_reads);
-    g_test_add_func("/choose/equals", test_equals_share_calls);
-    g_test_add_func("/choose/large_pool", test_large_pool_is_used_whole);
+    g_test_add_func("/choose/weights_of_cached_parts",
+                    test_cached_parts_depend_on_weights);
+    g_test_add_func("/choose/min_version",
+                    test_weights_below_minimum_are_not_used);
+    g_test_add_func("/choose/kv_cache_limit",
+                    test_kv_cache_limits_long_prompts);
+    g_test_add_func("/choose/answer_keeps_kv_use",
+                    test_answer_keeps_reported_kv_use);
+    g_test_add_func("/choose/avoids_long_prefills",
+                    test_short_prompts_avoid_long_prefills);
+    g_test_add_func("/choose/ties", test_ties_are_broken_at_random);
+    g_test_add_func("/choose/large_pool",
+                    test_large_pool_stays_local_until_full);
     g_test_add_func("/choose/homes", test_prompts_have_homes_in_a_large_pool);
-    g_test_add_func("/choose/same_homes", test_homes_are_the_same_for_all);
-    g_test_add_func("/choose/full_home", test_full_home_is_worth_a_wait);
-    g_test_add_func("/choose/long_places", test_long_prompts_leave_places);
-    g_test_add_func("/choose/refusing", test_refusing_upstream_rests);
+    g_test_add_func("/choose/same_homes",
+                    test_homes_are_the_same_for_all_entries);
+    g_test_add_func("/choose/queues_at_full_home",
+                    test_prompt_queues_at_full_home);
+    g_test_add_func("/choose/long_prompts_leave_slots",
+                    test_long_prompts_leave_slots);
+    g_test_add_func("/choose/refusal_backoff",
+                    test_refusing_engine_gets_backoff);
     g_test_add_func("/choose/loads_next",
-                    test_long_runs_avoid_an_engine_about_to_load);
-    g_test_add_func("/choose/old_weights_price",
-                    test_old_weights_have_a_price);
-    g_test_add_func("/choose/some_parts", test_holder_of_some_parts);
-    g_test_add_func("/choose/silent", test_silent_upstream_is_left_alone);
-    g_test_add_func("/choose/reading", test_reading_is_not_piled_up);
-    g_test_add_func("/choose/no_sidecar", test_silence_without_sidecar);
-    g_test_add_func("/choose/switched_off", test_switched_off);
+                    test_long_runs_avoid_engine_that_loads_next);
+    g_test_add_func("/choose/old_weights_cost", test_old_weights_have_a_cost);
+    g_test_add_func("/choose/holder_of_some_parts",
+                    test_holder_lacks_some_parts);
+    g_test_add_func("/choose/unresponsive",
+                    test_unresponsive_engine_gets_one_probe);
+    g_test_add_func("/choose/backlog_limit", test_backlog_is_limited);
+    g_test_add_func("/choose/no_sidecar", test_no_sidecar_is_responsive);
+    g_test_add_func("/choose/policy", test_policy_disables_costs);
     return g_test_run();
 }
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -20,27 +20,27 @@
     return good;
 }
 
-/* Each can be switched off by its name, alone. */
+/* Each mechanism can be switched off by its name, without the others. */
 static void
 test_each_has_a_name(void)
 {
-    for (unsigned i = 0; i < PGW_MECHANISMS; i++) {
+    for (unsigned i = 0; i < PGW_MECHANISM_COUNT; i++) {
         struct pgw_policy policy;
         GError *error = NULL;
         char *text =
             g_strdup_printf("{\"off\":[\"%s\"]}", pgw_mechanism_name(i));
 
         g_assert_true(load(&policy, text, &error));
-        for (unsigned j = 0; j < PGW_MECHANISMS; j++) {
+        for (unsigned j = 0; j < PGW_MECHANISM_COUNT; j++) {
             g_assert_cmpint(pgw_policy_is_on(&policy, j), ==, i != j);
         }
         g_free(text);
     }
 }
 
-/* A file without a list leaves all on; an unknown name, a key that does not
- * exist and what is no list are refused, and the message says what to write.
- */
+/* A file without a list leaves all mechanisms on. Unknown names, unknown keys
+ * and values of the wrong type are rejected with a message that lists what is
+ * valid. */
 static void
 test_files(void)
 {
@@ -54,7 +54,7 @@
     GError *error = NULL;
 
     g_assert_true(load(&policy, "{}", &error));
-    g_assert_true(pgw_policy_is_on(&policy, PGW_STORE));
+    g_assert_true(pgw_policy_is_on(&policy, PGW_MECHANISM_STORE));
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         g_assert_false(load(&policy, bad[i], &error));
         g_assert_error(error, PGW_ERROR, PGW_ERROR_INVALID);
