--- a/bench/placement/engine.c
+++ b/bench/placement/engine.c
@@ -140,7 +140,7 @@
 {
     double pairs = tokens * (before + tokens / 2) / 1e6;
 
-    return (uint64_t)(1000 * (tokens / options->prefill_tokens_per_ms +
+    return (uint64_t)(1000 * (tokens / options->read_rate +
                               pairs * options->pairs_ms));
 }
 
@@ -171,8 +171,7 @@
     double reading_ms = engine->reader_free_us > now
                             ? (double)(engine->reader_free_us - now) / 1000
                             : 0;
-    double slow_ms =
-        options->step_ms + options->piece / options->prefill_tokens_per_ms;
+    double slow_ms = options->step_ms + options->piece / options->read_rate;
     double slow = MIN(reading_ms / slow_ms, job->prompt.output_tokens);
 
     return (uint64_t)(1000 *
--- a/bench/placement/policy.c
+++ b/bench/placement/policy.c
@@ -17,7 +17,7 @@
         .homes = &job->homes,
         .model = SIM_MODEL,
         .size = job->prompt.tokens,
-        .prefill_tokens_per_ms = sim->options.prefill_tokens_per_ms,
+        .prefill_tokens_per_ms = sim->options.read_rate,
         .kv_tokens = sim->options.kv_tokens,
         .now_us = sim->now_us,
         .random = sim_random(sim),
--- a/bench/placement/sidecar.c
+++ b/bench/placement/sidecar.c
@@ -11,8 +11,8 @@
 current_load(const struct sim_engine *engine)
 {
     struct pgw_upstream_load load = engine->report;
-    struct pgw_unread unread =
-        pgw_announced_prompts_unread(&engine->announced);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(&engine->announced);
 
     load.running += engine->arrivals;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -144,11 +144,11 @@
             runs[work.run_count++].events = 1;
         }
         else {
-            work.reading++;
+            work.unlisted_runs++;
         }
     }
-    pgw_announced_prompts_report(&engine->announced, &work,
-                                 engine->sim->now_us);
+    pgw_announced_prompts_apply_report(&engine->announced, &work,
+                                       engine->sim->now_us);
     g_free(runs);
 }
 
--- a/bench/placement/sim.h
+++ b/bench/placement/sim.h
@@ -56,7 +56,7 @@
  * @engines: engines in each
  * @slots: requests that an engine runs at once
  * @queue: requests that wait at an engine before it refuses
- * @prefill_tokens_per_ms: tokens that it reads in a millisecond
+ * @read_rate: tokens that it reads in a millisecond
  * @pairs_ms: milliseconds for a million pairs of tokens
  * @step_ms: time for a token of the answer
  * @piece: tokens of a prompt that it reads between two tokens of answers
@@ -82,7 +82,7 @@
     unsigned engines;
     unsigned slots;
     unsigned queue;
-    double prefill_tokens_per_ms;
+    double read_rate;
     double pairs_ms;
     double step_ms;
     double piece;
--- a/src/gateway/announced_prompts.c
+++ b/src/gateway/announced_prompts.c
@@ -2,25 +2,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A request that was announced gets to the engine within this time. */
+/* An announced request reaches the engine within this time. */
 #define TRANSIT_US 60000
-/* One that has not been seen to run for so long was refused, or given up. */
-#define UNSEEN_MAX_US 3000000
-/* More than an engine runs and queues together. */
+/* A request that no report has listed for this long was refused or abandoned.
+ */
+#define UNLISTED_MAX_US 3000000
+/* Above the number of requests that an engine runs and queues. */
 #define REQUESTS_MAX 1024
 
 /**
- * struct announced_request - one of them
+ * struct announced_request - a request whose prompt may be pending
  * @id: pgw_announced_prompts_id() of the request
- * @to_read: tokens that are left to be read
- * @at_us: when it was announced
- * @seen: a report had it
+ * @pending_tokens: prompt tokens that the engine has to prefill
+ * @announced_at_us: when it was announced
+ * @was_listed: an engine's report has listed it
  */
 struct announced_request {
     uint64_t id;
-    uint32_t to_read;
-    uint64_t at_us;
-    bool seen;
+    uint32_t pending_tokens;
+    uint64_t announced_at_us;
+    bool was_listed;
 };
 
 uint64_t
@@ -50,7 +51,7 @@
 
 void
 pgw_announced_prompts_add(struct pgw_announced_prompts *announced, uint64_t id,
-                          uint32_t to_read, uint64_t now_us)
+                          uint32_t pending_tokens, uint64_t now_us)
 {
     struct announced_request *request;
 
@@ -59,8 +60,8 @@
     }
     request = g_new0(struct announced_request, 1);
     request->id = id;
-    request->to_read = to_read;
-    request->at_us = now_us;
+    request->pending_tokens = pending_tokens;
+    request->announced_at_us = now_us;
     g_hash_table_replace(announced->requests, &request->id, request);
 }
 
@@ -71,7 +72,7 @@
 }
 
 static const struct pgw_engine_run *
-find(const struct pgw_engine_work *work, uint64_t id)
+find_run(const struct pgw_engine_work *work, uint64_t id)
 {
     for (size_t i = 0; i < work->run_count; i++) {
         if (work->runs[i].id == id) {
@@ -81,11 +82,11 @@
     return NULL;
 }
 
-/* Removes those that are over, and returns how many may be left of those that
- * have arrived and are not listed. */
+/* Removes requests that are no longer pending. Returns the number of the
+ * others that have reached the engine but are not listed. */
 static uint32_t
-remove_ended(struct pgw_announced_prompts *announced,
-             const struct pgw_engine_work *work, uint64_t now_us)
+remove_prefilled(struct pgw_announced_prompts *announced,
+                 const struct pgw_engine_work *work, uint64_t now_us)
 {
     uint32_t unlisted = 0;
     GHashTableIter iter;
@@ -94,13 +95,13 @@
     g_hash_table_iter_init(&iter, announced->requests);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct announced_request *request = value;
-        const struct pgw_engine_run *run = find(work, request->id);
-        uint64_t age = now_us - request->at_us;
+        const struct pgw_engine_run *run = find_run(work, request->id);
+        uint64_t age = now_us - request->announced_at_us;
 
         if (run != NULL) {
-            request->seen = true;
+            request->was_listed = true;
         }
-        if (run == NULL ? request->seen || age >= UNSEEN_MAX_US
+        if (run == NULL ? request->was_listed || age >= UNLISTED_MAX_US
                         : run->events > 0) {
             g_hash_table_iter_remove(&iter);
         }
@@ -122,8 +123,9 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct announced_request *request = value;
 
-        if (!request->seen &&
-            (oldest == NULL || request->at_us < oldest->at_us)) {
+        if (!request->was_listed &&
+            (oldest == NULL ||
+             request->announced_at_us < oldest->announced_at_us)) {
             oldest = request;
         }
     }
@@ -133,35 +135,37 @@
 }
 
 /*
- * Failure: an engine does not list the prompt that it is reading. Symptom: it
- * counts as read with the first report, and short prompts are sent behind it.
- * So many may be left as the engine reads or has in its queue; it takes them
- * in their order.
+ * Failure: an engine does not list the prompt that it is prefilling. Symptom:
+ * the prompt counts as prefilled with the first report, and short prompts are
+ * sent behind it. Therefore as many unlisted requests are kept as the engine
+ * runs unlisted or has in its queue. It takes them in order, so the oldest are
+ * removed.
  */
 void
-pgw_announced_prompts_report(struct pgw_announced_prompts *announced,
-                             const struct pgw_engine_work *work,
-                             uint64_t now_us)
+pgw_announced_prompts_apply_report(struct pgw_announced_prompts *announced,
+                                   const struct pgw_engine_work *work,
+                                   uint64_t now_us)
 {
-    uint32_t unlisted = remove_ended(announced, work, now_us);
+    uint32_t unlisted = remove_prefilled(announced, work, now_us);
 
-    while (unlisted > work->reading + work->waiting) {
+    while (unlisted > work->unlisted_runs + work->waiting) {
         remove_oldest(announced);
         unlisted--;
     }
 }
 
-struct pgw_unread
-pgw_announced_prompts_unread(const struct pgw_announced_prompts *announced)
+struct pgw_pending_prefill
+pgw_announced_prompts_pending(const struct pgw_announced_prompts *announced)
 {
-    struct pgw_unread unread = {0};
+    struct pgw_pending_prefill pending = {0};
     GHashTableIter iter;
     void *value;
 
     g_hash_table_iter_init(&iter, announced->requests);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        unread.tokens += ((const struct announced_request *)value)->to_read;
-        unread.prompts++;
+        pending.tokens +=
+            ((const struct announced_request *)value)->pending_tokens;
+        pending.prompts++;
     }
-    return unread;
+    return pending;
 }
--- a/src/gateway/announced_prompts.h
+++ b/src/gateway/announced_prompts.h
@@ -8,16 +8,16 @@
 /**
  * DOC: Long prompts that entries have announced to a sidecar
  *
- * An engine's report counts its requests, but not what is left to be read of
- * them, nor what waits in its queue. The sidecar adds up what was announced
- * and finds in each report what has become of it.
+ * An engine's report counts its requests, but not the tokens that they still
+ * have to prefill, nor those in its queue. The sidecar adds up the announced
+ * tokens and uses each report to find out which prompts have been prefilled.
  */
 
 /**
- * struct pgw_engine_run - a request that an engine runs, by its report
+ * struct pgw_engine_run - a running request in an engine's report
  * @id: pgw_announced_prompts_id() of the request
- * @tokens: in memory
- * @events: that it has generated; 0: its prompt is being read
+ * @tokens: tokens in the KV cache
+ * @events: number of generated events; 0: its prompt is being prefilled
  */
 struct pgw_engine_run {
     uint64_t id;
@@ -26,22 +26,22 @@
 };
 
 /**
- * struct pgw_engine_work - an engine's requests, by its report
- * @runs: those that it lists
+ * struct pgw_engine_work - an engine's requests, from its report
+ * @runs: running requests that the report lists
  * @run_count: number of @runs
- * @reading: requests that it runs and does not list: some engines list a
- *   request from its first token on
+ * @unlisted_runs: running requests that the report does not list; some engines
+ *   list a request only from its first token on
  * @waiting: requests in its queue
  */
 struct pgw_engine_work {
     const struct pgw_engine_run *runs;
     size_t run_count;
-    uint32_t reading;
+    uint32_t unlisted_runs;
     uint32_t waiting;
 };
 
 /**
- * struct pgw_announced_prompts - requests that may not have been read yet
+ * struct pgw_announced_prompts - announced requests that may still be pending
  * @requests: pgw_announced_prompts_id() -> &struct announced_request
  */
 struct pgw_announced_prompts {
@@ -49,11 +49,11 @@
 };
 
 /**
- * struct pgw_unread - what an engine has before it
- * @tokens: prompt tokens that are left to be read
- * @prompts: long prompts of which some are
+ * struct pgw_pending_prefill - prefill that an engine has still to do
+ * @tokens: pending prompt tokens
+ * @prompts: number of long prompts with pending tokens
  */
-struct pgw_unread {
+struct pgw_pending_prefill {
     uint64_t tokens;
     uint32_t prompts;
 };
@@ -64,33 +64,34 @@
 void pgw_announced_prompts_init(struct pgw_announced_prompts *announced);
 void pgw_announced_prompts_dispose(struct pgw_announced_prompts *announced);
 
-/** pgw_announced_prompts_clear() - the engine started anew: it has none of
- * them */
+/** pgw_announced_prompts_clear() - drop all requests: the engine restarted */
 void pgw_announced_prompts_clear(struct pgw_announced_prompts *announced);
 
-/** pgw_announced_prompts_add() - an entry sends a prompt of which @to_read
- * tokens have to be read */
+/** pgw_announced_prompts_add() - an entry sends a prompt of which the engine
+ * has to prefill @pending_tokens */
 void pgw_announced_prompts_add(struct pgw_announced_prompts *announced,
-                               uint64_t id, uint32_t to_read, uint64_t now_us);
+                               uint64_t id, uint32_t pending_tokens,
+                               uint64_t now_us);
 
-/** pgw_announced_prompts_end() - an entry says that its prompt was read, or
- * given up
- */
+/** pgw_announced_prompts_end() - an entry announces that its prompt was
+ * prefilled or abandoned */
 void pgw_announced_prompts_end(struct pgw_announced_prompts *announced,
                                uint64_t id);
 
 /**
- * pgw_announced_prompts_report() - find in a report what has become of them
+ * pgw_announced_prompts_apply_report() - remove requests that are no longer
+ * pending by an engine's report
  * @announced: the requests
  * @work: the report
  * @now_us: monotonic time
  */
-void pgw_announced_prompts_report(struct pgw_announced_prompts *announced,
-                                  const struct pgw_engine_work *work,
-                                  uint64_t now_us);
+void
+pgw_announced_prompts_apply_report(struct pgw_announced_prompts *announced,
+                                   const struct pgw_engine_work *work,
+                                   uint64_t now_us);
 
-/** pgw_announced_prompts_unread() - what is left to be read */
-struct pgw_unread
-pgw_announced_prompts_unread(const struct pgw_announced_prompts *announced);
+/** pgw_announced_prompts_pending() - sum of all pending prompts */
+struct pgw_pending_prefill
+pgw_announced_prompts_pending(const struct pgw_announced_prompts *announced);
 
 #endif
--- a/src/gateway/cached_parts.c
+++ b/src/gateway/cached_parts.c
@@ -1,17 +1,18 @@
 #include "gateway/cached_parts.h"
 #include <stdlib.h>
 
-/* Keys that are remembered as asked for before older ones are forgotten: an
- * engine holds some hundred shared parts, and twice as many are kept. */
-#define ASKED_MAX 4096
-/* A part is taken to be on its way for so long: a request waits in the
- * engine's queue, and its whole prompt is read before the part is held. */
-#define ARRIVING_US 4000000
-/* Parts on their way that are remembered. */
-#define ARRIVING_MAX 1024
+/* Maximum number of keys in a generation of requested keys. A full generation
+ * replaces the previous one. An engine holds a few hundred shared parts. */
+#define REQUESTED_MAX 4096
+/* How long an announced part counts as expected: the request waits in the
+ * engine's queue, and its whole prompt is prefilled before the part is cached.
+ */
+#define EXPECTED_US 4000000
+/* Maximum number of announced parts. */
+#define EXPECTED_MAX 1024
 
 static GHashTable *
-key_table(void)
+new_key_table(void)
 {
     return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
@@ -20,15 +21,15 @@
 pgw_cached_parts_init(struct pgw_cached_parts *parts)
 {
     *parts = (struct pgw_cached_parts){
-        .tokens = key_table(),
-        .asked = key_table(),
-        .asked_before = key_table(),
-        .expected = key_table(),
-        .arriving =
+        .tokens = new_key_table(),
+        .requested = new_key_table(),
+        .previously_requested = new_key_table(),
+        .expected = new_key_table(),
+        .announced_us =
             g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free),
-        .near_changed = key_table(),
-        .far_changed = key_table(),
-        .far_known = key_table(),
+        .local_changed = new_key_table(),
+        .remote_changed = new_key_table(),
+        .remote_reported = new_key_table(),
     };
 }
 
@@ -36,13 +37,13 @@
 pgw_cached_parts_dispose(struct pgw_cached_parts *parts)
 {
     g_hash_table_destroy(parts->tokens);
-    g_hash_table_destroy(parts->asked);
-    g_hash_table_destroy(parts->asked_before);
+    g_hash_table_destroy(parts->requested);
+    g_hash_table_destroy(parts->previously_requested);
     g_hash_table_destroy(parts->expected);
-    g_hash_table_destroy(parts->arriving);
-    g_hash_table_destroy(parts->near_changed);
-    g_hash_table_destroy(parts->far_changed);
-    g_hash_table_destroy(parts->far_known);
+    g_hash_table_destroy(parts->announced_us);
+    g_hash_table_destroy(parts->local_changed);
+    g_hash_table_destroy(parts->remote_changed);
+    g_hash_table_destroy(parts->remote_reported);
 }
 
 void
@@ -50,14 +51,14 @@
 {
     g_hash_table_remove_all(parts->tokens);
     g_hash_table_remove_all(parts->expected);
-    g_hash_table_remove_all(parts->arriving);
-    g_hash_table_remove_all(parts->near_changed);
-    g_hash_table_remove_all(parts->far_changed);
-    g_hash_table_remove_all(parts->far_known);
+    g_hash_table_remove_all(parts->announced_us);
+    g_hash_table_remove_all(parts->local_changed);
+    g_hash_table_remove_all(parts->remote_changed);
+    g_hash_table_remove_all(parts->remote_reported);
     parts->epoch = 0;
     parts->next = 0;
-    parts->reset = true;
-    parts->far_reset = true;
+    parts->local_reset = true;
+    parts->remote_reset = true;
 }
 
 static uint32_t
@@ -74,17 +75,17 @@
 }
 
 static bool
-is_asked(const struct pgw_cached_parts *parts, uint64_t key)
+is_requested(const struct pgw_cached_parts *parts, uint64_t key)
 {
-    return g_hash_table_contains(parts->asked, &key) ||
-           g_hash_table_contains(parts->asked_before, &key);
+    return g_hash_table_contains(parts->requested, &key) ||
+           g_hash_table_contains(parts->previously_requested, &key);
 }
 
 static void
-note_change(struct pgw_cached_parts *parts, uint64_t key)
+mark_changed(struct pgw_cached_parts *parts, uint64_t key)
 {
-    set(parts->near_changed, key, 1);
-    set(parts->far_changed, key, 1);
+    set(parts->local_changed, key, 1);
+    set(parts->remote_changed, key, 1);
 }
 
 void
@@ -92,9 +93,10 @@
                               const struct pgw_cache_events *events)
 {
     /*
-     * Failure: an engine starts anew, or its events were overwritten before
-     * they were read. Symptom: parts that are long gone count as held, and
-     * prompts go where they are read again. Nothing of before is kept.
+     * Failure: an engine restarts, or its events were overwritten before the
+     * sidecar read them. Symptom: evicted parts count as cached, and prompts
+     * are sent where they have to be prefilled again. Therefore all previous
+     * state is dropped.
      */
 #ifndef PGW_DISABLE_GATEWAY_HELD
     if (events->epoch != parts->epoch || events->gap) {
@@ -113,32 +115,33 @@
             set(parts->tokens, event->key, event->tokens);
         }
         g_hash_table_remove(parts->expected, &event->key);
-        g_hash_table_remove(parts->arriving, &event->key);
-        if (is_asked(parts, event->key)) {
-            note_change(parts, event->key);
+        g_hash_table_remove(parts->announced_us, &event->key);
+        if (is_requested(parts, event->key)) {
+            mark_changed(parts, event->key);
         }
     }
 }
 
 static gboolean
-is_old(void *key, void *value, void *now_us)
+is_expired(void *key, void *value, void *now_us)
 {
     (void)key;
-    return *(uint64_t *)now_us - *(uint64_t *)value >= ARRIVING_US;
+    return *(uint64_t *)now_us - *(uint64_t *)value >= EXPECTED_US;
 }
 
-/* A request may be refused, and nothing will come of it: what is too old to be
- * on its way goes when there are many. */
+/* A request may be refused, so that no cache event ever follows; expired
+ * announcements are removed when the table is full. */
 static void
-note_arrival(struct pgw_cached_parts *parts, uint64_t key, uint64_t now_us)
+record_announcement(struct pgw_cached_parts *parts, uint64_t key,
+                    uint64_t now_us)
 {
-    if (g_hash_table_size(parts->arriving) >= ARRIVING_MAX) {
-        g_hash_table_foreach_remove(parts->arriving, is_old, &now_us);
+    if (g_hash_table_size(parts->announced_us) >= EXPECTED_MAX) {
+        g_hash_table_foreach_remove(parts->announced_us, is_expired, &now_us);
     }
-    if (g_hash_table_size(parts->arriving) >= ARRIVING_MAX) {
+    if (g_hash_table_size(parts->announced_us) >= EXPECTED_MAX) {
         return;
     }
-    g_hash_table_replace(parts->arriving, g_memdup2(&key, sizeof(key)),
+    g_hash_table_replace(parts->announced_us, g_memdup2(&key, sizeof(key)),
                          g_memdup2(&now_us, sizeof(now_us)));
 }
 
@@ -146,21 +149,21 @@
 pgw_cached_parts_expect(struct pgw_cached_parts *parts, uint64_t key,
                         uint32_t tokens, uint64_t now_us)
 {
-    bool is_new = !is_asked(parts, key);
+    bool is_new = !is_requested(parts, key);
 
-    if (g_hash_table_size(parts->asked) >= ASKED_MAX) {
-        g_hash_table_destroy(parts->asked_before);
-        parts->asked_before = parts->asked;
-        parts->asked = key_table();
+    if (g_hash_table_size(parts->requested) >= REQUESTED_MAX) {
+        g_hash_table_destroy(parts->previously_requested);
+        parts->previously_requested = parts->requested;
+        parts->requested = new_key_table();
     }
-    set(parts->asked, key, 1);
+    set(parts->requested, key, 1);
     if (pgw_cached_parts_tokens(parts, key) == 0) {
         set(parts->expected, key, tokens);
-        note_arrival(parts, key, now_us);
-        note_change(parts, key);
+        record_announcement(parts, key, now_us);
+        mark_changed(parts, key);
     }
     else if (is_new) {
-        note_change(parts, key);
+        mark_changed(parts, key);
     }
 }
 
@@ -171,139 +174,150 @@
 }
 
 bool
-pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts, bool far)
+pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts, bool remote)
 {
-    return far ? parts->far_reset || g_hash_table_size(parts->far_changed) > 0
-               : parts->reset || g_hash_table_size(parts->near_changed) > 0;
+    return remote ? parts->remote_reset ||
+                        g_hash_table_size(parts->remote_changed) > 0
+                  : parts->local_reset ||
+                        g_hash_table_size(parts->local_changed) > 0;
 }
 
 struct pgw_part_update
 pgw_cached_parts_lookup(const struct pgw_cached_parts *parts, uint64_t key,
                         uint64_t now_us)
 {
-    const uint64_t *at_us = g_hash_table_lookup(parts->arriving, &key);
-    uint32_t held = pgw_cached_parts_tokens(parts, key);
+    const uint64_t *announced_us =
+        g_hash_table_lookup(parts->announced_us, &key);
+    uint32_t cached = pgw_cached_parts_tokens(parts, key);
 
     return (struct pgw_part_update){
         .key = key,
-        .tokens = held,
-        .expected =
-            held == 0 && at_us != NULL && now_us - *at_us < ARRIVING_US,
+        .tokens = cached,
+        .expected = cached == 0 && announced_us != NULL &&
+                    now_us - *announced_us < EXPECTED_US,
     };
 }
 
-/* What there is to say of a part to who was not told yet. */
+/* Current state of a part, for entries that have not been sent it yet. */
 static struct pgw_part_update
-word_of(const struct pgw_cached_parts *parts, uint64_t key)
+current_update(const struct pgw_cached_parts *parts, uint64_t key)
 {
-    uint32_t held = pgw_cached_parts_tokens(parts, key);
+    uint32_t cached = pgw_cached_parts_tokens(parts, key);
     uint32_t expected = lookup(parts->expected, key);
 
     return (struct pgw_part_update){
         .key = key,
-        .tokens = held > 0 ? held : expected,
-        .expected = held == 0 && expected > 0,
+        .tokens = cached > 0 ? cached : expected,
+        .expected = cached == 0 && expected > 0,
     };
 }
 
-/* The others are not told what they know, nor of the end of what they never
- * heard of. */
+/* Remote zones are not sent what they were sent before, nor the eviction of a
+ * part that was never reported to them. */
 static bool
-is_news_far_away(const struct pgw_cached_parts *parts,
-                 const struct pgw_part_update *word)
+differs_from_reported(const struct pgw_cached_parts *parts,
+                      const struct pgw_part_update *update)
 {
-    return word->expected ||
-           word->tokens != lookup(parts->far_known, word->key);
+    return update->expected ||
+           update->tokens != lookup(parts->remote_reported, update->key);
 }
 
 static uint32_t
-weight_of(const struct pgw_cached_parts *parts,
-          const struct pgw_part_update *word)
+sort_size(const struct pgw_cached_parts *parts,
+          const struct pgw_part_update *update)
 {
-    return MAX(word->tokens, lookup(parts->far_known, word->key));
+    return MAX(update->tokens, lookup(parts->remote_reported, update->key));
 }
 
 static int
 largest_first(const void *left, const void *right, void *context)
 {
-    uint32_t a = weight_of(context, left);
-    uint32_t b = weight_of(context, right);
+    uint32_t a = sort_size(context, left);
+    uint32_t b = sort_size(context, right);
 
     return a > b ? -1 : a < b;
 }
 
 static void
-count_as_told(struct pgw_cached_parts *parts, const GArray *words, bool far)
+mark_reported(struct pgw_cached_parts *parts, const GArray *updates,
+              bool remote)
 {
-    for (unsigned i = 0; i < words->len; i++) {
-        const struct pgw_part_update *word =
-            &g_array_index(words, struct pgw_part_update, i);
-
-        g_hash_table_remove(far ? parts->far_changed : parts->near_changed,
-                            &word->key);
-        if (!far) {
+    for (unsigned i = 0; i < updates->len; i++) {
+        const struct pgw_part_update *update =
+            &g_array_index(updates, struct pgw_part_update, i);
+
+        g_hash_table_remove(remote ? parts->remote_changed
+                                   : parts->local_changed,
+                            &update->key);
+        if (!remote) {
             continue;
         }
-        g_hash_table_remove(parts->expected, &word->key);
-        if (word->tokens == 0 || word->expected) {
-            g_hash_table_remove(parts->far_known, &word->key);
+        g_hash_table_remove(parts->expected, &update->key);
+        if (update->tokens == 0 || update->expected) {
+            g_hash_table_remove(parts->remote_reported, &update->key);
         }
         else {
-            set(parts->far_known, word->key, word->tokens);
+            set(parts->remote_reported, update->key, update->tokens);
         }
     }
 }
 
 GArray *
-pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool far, size_t most)
+pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool remote,
+                         size_t max_count)
 {
-    GHashTable *changed = far ? parts->far_changed : parts->near_changed;
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
+    GHashTable *changed =
+        remote ? parts->remote_changed : parts->local_changed;
+    GArray *updates =
+        g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     GHashTableIter iter;
     void *key;
 
     g_hash_table_iter_init(&iter, changed);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        struct pgw_part_update word = word_of(parts, *(const uint64_t *)key);
+        struct pgw_part_update update =
+            current_update(parts, *(const uint64_t *)key);
 
-        if (far && !is_news_far_away(parts, &word)) {
+        if (remote && !differs_from_reported(parts, &update)) {
             g_hash_table_iter_remove(&iter);
             continue;
         }
-        g_array_append_val(words, word);
+        g_array_append_val(updates, update);
     }
-    if (words->len > most) {
-        g_array_sort_with_data(words, largest_first, parts);
-        g_array_set_size(words, (unsigned)most);
+    if (updates->len > max_count) {
+        g_array_sort_with_data(updates, largest_first, parts);
+        g_array_set_size(updates, (unsigned)max_count);
     }
-    count_as_told(parts, words, far);
-    if (far) {
-        parts->far_reset = false;
+    mark_reported(parts, updates, remote);
+    if (remote) {
+        parts->remote_reset = false;
     }
     else {
-        parts->reset = false;
+        parts->local_reset = false;
     }
-    return words;
+    return updates;
 }
 
 GArray *
-pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far)
+pgw_cached_parts_snapshot(const struct pgw_cached_parts *parts, bool remote)
 {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
+    GArray *updates =
+        g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     GHashTableIter iter;
     void *key;
     void *tokens;
 
-    g_hash_table_iter_init(&iter, far ? parts->far_known : parts->tokens);
+    g_hash_table_iter_init(&iter,
+                           remote ? parts->remote_reported : parts->tokens);
     while (g_hash_table_iter_next(&iter, &key, &tokens)) {
-        struct pgw_part_update word = {
+        struct pgw_part_update update = {
             .key = *(const uint64_t *)key,
             .tokens = GPOINTER_TO_UINT(tokens),
         };
 
-        if (far || is_asked(parts, word.key)) {
-            g_array_append_val(words, word);
+        if (remote || is_requested(parts, update.key)) {
+            g_array_append_val(updates, update);
         }
     }
-    return words;
+    return updates;
 }
--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -6,24 +6,25 @@
 #include <stdint.h>
 
 /**
- * DOC: Prompt parts that an engine holds, from its cache events
+ * DOC: Prompt parts in an engine's KV cache, from its cache events
  *
- * Kept beside the engine. Events come late and some never come: what they say
- * is a guess that places requests and starts fetches, never a promise that an
- * answer rests on.
+ * Kept by the engine's sidecar. Events arrive late and some are lost, so the
+ * state is approximate: it places requests and starts fetches, but no answer
+ * depends on it.
  *
- * Of what changes only parts that entries ask for are told: half of a prompt's
- * parts belong to it alone. Entries of the zone hear of all of these at once,
- * the others of as many as a budget of bytes allows, the largest first. An
- * entry that sends a request says which shared parts it has, so that the
- * others know where a part is being read before it is held.
+ * Only changes of parts that entries have requested are reported: half of a
+ * prompt's parts are used by that prompt alone. Entries of the local zone get
+ * all of these changes at once. Entries of remote zones get as many as a
+ * budget of bytes allows, the largest first. An entry that sends a request
+ * announces its shared parts, so that other entries know where a part is being
+ * prefilled before it is cached.
  */
 
 /**
- * struct pgw_cache_event - one change of an engine's cache
- * @number: grows by one with each event
+ * struct pgw_cache_event - a change of an engine's KV cache
+ * @number: sequence number
  * @key: pgw_part_key() of the part
- * @tokens: tokens of it that are held now, 0: none
+ * @tokens: number of its tokens that are cached now, 0: none
  */
 struct pgw_cache_event {
     uint64_t number;
@@ -32,11 +33,11 @@
 };
 
 /**
- * struct pgw_cache_events - one answer of an engine
- * @epoch: changes when the engine starts anew
- * @started_ms: start of the process that answered, 0: not said
- * @next: where the next call begins
- * @gap: events before these are lost
+ * struct pgw_cache_events - an engine's response to a request for events
+ * @epoch: changes when the engine restarts
+ * @started_ms: start time of the process that answered, 0: unknown
+ * @next: event number that the next request starts from
+ * @gap: some events before @events were lost
  * @events: array of @count events, owned
  * @count: number of @events
  */
@@ -50,10 +51,11 @@
 };
 
 /**
- * struct pgw_part_update - word of one part, for entries
+ * struct pgw_part_update - state of one part, as reported to entries
  * @key: pgw_part_key() of the part
- * @tokens: tokens of it that are held; 0: none
- * @expected: it is on its way there and counts as held for a moment
+ * @tokens: number of its tokens that are cached; 0: none
+ * @expected: a request with the part is in flight to the engine; the part
+ *   counts as cached for a short time
  */
 struct pgw_part_update {
     uint64_t key;
@@ -62,85 +64,88 @@
 };
 
 /**
- * struct pgw_cached_parts - the parts
- * @epoch: of the engine's current start
- * @next: where the next call begins
- * @tokens: key -> tokens of all that is held
- * @asked: keys that entries asked for lately; nothing else is told
- * @asked_before: those asked for before @asked was begun
- * @expected: key -> tokens of parts on their way, until that has been told
- * @arriving: key -> when a request with the part was last announced, until the
- *   engine says what became of it
- * @near_changed: keys to be told to entries of the zone
- * @far_changed: keys to be told to the others
- * @far_known: key -> tokens, as the others were told
- * @reset: what was told before is void
- * @far_reset: the same for the others
+ * struct pgw_cached_parts - an engine's cached parts, and what was reported
+ * @epoch: epoch of the engine's current start
+ * @next: event number that the next request starts from
+ * @tokens: key -> tokens of all cached parts
+ * @requested: keys in recent requests of entries; only these are reported
+ * @previously_requested: keys of the generation before @requested
+ * @expected: key -> tokens of parts in flight that remote zones have not been
+ *   sent yet
+ * @announced_us: key -> time when a request with the part was last announced,
+ *   until a cache event for the part arrives
+ * @local_changed: keys to report to entries of the local zone
+ * @remote_changed: keys to report to entries of remote zones
+ * @remote_reported: key -> tokens as reported to remote zones
+ * @local_reset: the next report to the local zone replaces all earlier ones
+ * @remote_reset: the same for remote zones
  */
 struct pgw_cached_parts {
     uint64_t epoch;
     uint64_t next;
     GHashTable *tokens;
-    GHashTable *asked;
-    GHashTable *asked_before;
+    GHashTable *requested;
+    GHashTable *previously_requested;
     GHashTable *expected;
-    GHashTable *arriving;
-    GHashTable *near_changed;
-    GHashTable *far_changed;
-    GHashTable *far_known;
-    bool reset;
-    bool far_reset;
+    GHashTable *announced_us;
+    GHashTable *local_changed;
+    GHashTable *remote_changed;
+    GHashTable *remote_reported;
+    bool local_reset;
+    bool remote_reset;
 };
 
 void pgw_cached_parts_init(struct pgw_cached_parts *parts);
 void pgw_cached_parts_dispose(struct pgw_cached_parts *parts);
 
-/** pgw_cached_parts_apply_events() - an answer of the engine */
+/** pgw_cached_parts_apply_events() - apply an engine's response */
 void pgw_cached_parts_apply_events(struct pgw_cached_parts *parts,
                                    const struct pgw_cache_events *events);
 
-/** pgw_cached_parts_clear() - the engine dropped everything, or started anew
- */
+/** pgw_cached_parts_clear() - the engine dropped its cache, or restarted */
 void pgw_cached_parts_clear(struct pgw_cached_parts *parts);
 
 /**
- * pgw_cached_parts_expect() - an entry sends a request that shares a part
+ * pgw_cached_parts_expect() - handle the announcement of a shared part in a
+ * request
  * @parts: the parts
  * @key: pgw_part_key() of the part
- * @tokens: its size
+ * @tokens: size of the part
  * @now_us: monotonic time
  */
 void pgw_cached_parts_expect(struct pgw_cached_parts *parts, uint64_t key,
                              uint32_t tokens, uint64_t now_us);
 
-/** pgw_cached_parts_tokens() - tokens of a part that are held */
+/** pgw_cached_parts_tokens() - number of cached tokens of a part */
 uint32_t pgw_cached_parts_tokens(const struct pgw_cached_parts *parts,
                                  uint64_t key);
 
-/** pgw_cached_parts_lookup() - what there is to say of a part to who asks; 0
- * tokens: it is neither held nor on its way */
+/** pgw_cached_parts_lookup() - state of a part for the answer to a probe; 0
+ * tokens: not cached */
 struct pgw_part_update
 pgw_cached_parts_lookup(const struct pgw_cached_parts *parts, uint64_t key,
                         uint64_t now_us);
 
-/** pgw_cached_parts_has_changes() - something was not told yet */
+/** pgw_cached_parts_has_changes() - whether there is anything to report */
 bool pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts,
-                                  bool far);
+                                  bool remote);
 
 /**
- * pgw_cached_parts_changes() - what is to be told now
+ * pgw_cached_parts_changes() - take the changes to report now
  * @parts: the parts
- * @far: to entries of other zones
- * @most: so many at most, the largest first; the rest stays for the next time
+ * @remote: to entries of remote zones
+ * @max_count: maximum number of changes; if there are more, the largest are
+ *   taken and the others kept for the next report
  *
- * Return: array of &struct pgw_part_update, owned by the caller; counts as
- * told.
+ * Return: array of &struct pgw_part_update, owned by the caller. The changes
+ * count as reported.
  */
-GArray *pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool far,
-                                 size_t most);
+GArray *pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool remote,
+                                 size_t max_count);
 
-/** pgw_cached_parts_all() - all that an entry which is new has to know; array
- * of &struct pgw_part_update, owned by the caller */
-GArray *pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far);
+/** pgw_cached_parts_snapshot() - state to report to an entry that has just
+ * connected; array of &struct pgw_part_update, owned by the caller */
+GArray *pgw_cached_parts_snapshot(const struct pgw_cached_parts *parts,
+                                  bool remote);
 
 #endif
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -282,8 +282,8 @@
         input.model = exchange->facts.model;
         input.run_ms =
             gateway->token_ms.value * exchange->facts.prompt.output_tokens;
-        input.load_wait_ms = gateway->load_wait_ms;
-        input.prefill_tokens_per_ms = gateway->prefill_tokens_per_ms.value;
+        input.load_wait_ms = gateway->turn_ms;
+        input.prefill_tokens_per_ms = gateway->read_rate.value;
         input.kv_tokens = service == NULL ? 0 : service->kv_tokens;
         input.size =
             HEAD_SIZE_GUESS + (exchange->caller == NULL
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -66,14 +66,15 @@
     guard->alive = true;
     guard->failures = 0;
     guard->arrivals_before = (struct pgw_announced_arrivals){0};
-    pgw_announced_prompts_report(&guard->announced,
-                                 &(struct pgw_engine_work){
-                                     .runs = guard->report.runs,
-                                     .run_count = guard->report.run_count,
-                                     .reading = guard->report.reading,
-                                     .waiting = guard->report.load.waiting,
-                                 },
-                                 now);
+    pgw_announced_prompts_apply_report(
+        &guard->announced,
+        &(struct pgw_engine_work){
+            .runs = guard->report.runs,
+            .run_count = guard->report.run_count,
+            .unlisted_runs = guard->report.reading,
+            .waiting = guard->report.load.waiting,
+        },
+        now);
     for (size_t i = 0; i < guard->model_count; i++) {
         struct pgw_sidecar_model *model = &guard->models[i];
         uint64_t version =
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -76,7 +76,8 @@
 current_load(const struct pgw_engine_sidecar *guard)
 {
     struct pgw_upstream_load load = guard->report.load;
-    struct pgw_unread unread = pgw_announced_prompts_unread(&guard->announced);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(&guard->announced);
 
     load.running += guard->arrivals.requests + guard->arrivals_before.requests;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -147,7 +148,7 @@
 pgw_engine_sidecar_send_full_state(const struct pgw_engine_sidecar *guard,
                                    struct pgw_connected_entry *peer)
 {
-    GArray *all = pgw_cached_parts_all(&guard->parts, peer->far);
+    GArray *all = pgw_cached_parts_snapshot(&guard->parts, peer->far);
 
     send_state(
         guard, peer,
@@ -195,7 +196,7 @@
 tell_group(struct pgw_engine_sidecar *guard, bool far, bool identity,
            size_t most)
 {
-    bool reset = far ? guard->parts.far_reset : guard->parts.reset;
+    bool reset = far ? guard->parts.remote_reset : guard->parts.local_reset;
     GArray *words = pgw_cached_parts_changes(&guard->parts, far, most);
     struct report report = {
         .words = words,
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -23,9 +23,8 @@
  * @weights: model -> &struct pgw_target_weights
  * @token_ms: time that a run takes for each token of the longest answer that
  *   its caller allows, as observed
- * @prefill_tokens_per_ms: tokens that an engine reads in a millisecond, as
- * observed
- * @load_wait_ms: time until an engine that loads next is told to, on average
+ * @read_rate: tokens that an engine reads in a millisecond, as observed
+ * @turn_ms: time until an engine that loads next is told to, on average
  * @pump_at_us: when @pump_timer is due, 0: it is not set
  * @sidecars: how sidecars are reached, NULL: they are not
  * @sidecars_context: handed to @sidecars
@@ -54,8 +53,8 @@
     struct pgw_timer unresponsive_timer;
     GHashTable *weights;
     struct pgw_moving_average token_ms;
-    struct pgw_moving_average prefill_tokens_per_ms;
-    double load_wait_ms;
+    struct pgw_moving_average read_rate;
+    double turn_ms;
     uint64_t pump_at_us;
     bool pump_posted;
     const struct pgw_sidecar_ops *sidecars;
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -93,7 +93,7 @@
     gateway->pool = pgw_call_pool_new(loop, &pool);
     gateway->upstreams = pgw_upstream_table_new(options->zone);
     pgw_moving_average_init(&gateway->token_ms, TOKEN_MS_PRIOR);
-    pgw_moving_average_init(&gateway->prefill_tokens_per_ms, READ_RATE_PRIOR);
+    pgw_moving_average_init(&gateway->read_rate, READ_RATE_PRIOR);
     gateway->budgets = pgw_retry_budgets_new(&options->budgets);
     gateway->poison = pgw_crash_quarantine_new(&options->poison);
     gateway->quota = pgw_quota_new(gateway, &options->quota);
@@ -254,7 +254,7 @@
 {
     /* The next ones wait for one of those that load, which may have just begun
      * or be about to end. */
-    gateway->load_wait_ms = (double)load_us / 1000 / 2;
+    gateway->turn_ms = (double)load_us / 1000 / 2;
 }
 
 GHashTable *
--- a/src/gateway/recent_parts.h
+++ b/src/gateway/recent_parts.h
@@ -6,39 +6,39 @@
 #include <stdint.h>
 
 /**
- * DOC: Shared prompt parts that were sent to an upstream lately
+ * DOC: Shared prompt parts that were recently sent to an upstream
  *
- * A fixed table of the newest parts, by time. It is a guess: a wrong one costs
- * reading the part again, never a wrong answer, because the engine looks for
- * itself.
+ * A table of fixed size with the most recently used parts. It is approximate:
+ * a wrong item costs another prefill but never a wrong answer, because the
+ * engine checks its own cache.
  */
 
-/* An entry sends an engine some ten prompts a second, and an engine's memory
- * holds some ten long parts. */
+/* An entry sends an engine about ten prompts a second, and an engine's KV
+ * cache holds about ten long parts. */
 #define PGW_RECENT_PARTS_SIZE 64
 
 /**
- * struct pgw_recent_parts - the parts, in no order
- * @keys: hashes of part, salt and weights; 0 is an empty place
- * @used_us: last use
+ * struct pgw_recent_parts - recently used parts, unordered
+ * @keys: hashes of part, salt and weights; 0: free slot
+ * @used_us: when each was last used
  */
 struct pgw_recent_parts {
     uint64_t keys[PGW_RECENT_PARTS_SIZE];
     uint64_t used_us[PGW_RECENT_PARTS_SIZE];
 };
 
-/** pgw_recent_parts_add() - a part is used there now */
-void pgw_recent_parts_add(struct pgw_recent_parts *memory, uint64_t key,
+/** pgw_recent_parts_add() - record that the upstream uses a part now */
+void pgw_recent_parts_add(struct pgw_recent_parts *recent, uint64_t key,
                           uint64_t now_us);
 
-/** pgw_recent_parts_has() - whether a part was used there after a time */
-bool pgw_recent_parts_has(const struct pgw_recent_parts *memory, uint64_t key,
+/** pgw_recent_parts_has() - whether a part was used after a time */
+bool pgw_recent_parts_has(const struct pgw_recent_parts *recent, uint64_t key,
                           uint64_t since_us);
 
-/** pgw_recent_parts_remove() - it lost one part */
-void pgw_recent_parts_remove(struct pgw_recent_parts *memory, uint64_t key);
+/** pgw_recent_parts_remove() - the upstream lost a part */
+void pgw_recent_parts_remove(struct pgw_recent_parts *recent, uint64_t key);
 
-/** pgw_recent_parts_clear() - it lost all */
-void pgw_recent_parts_clear(struct pgw_recent_parts *memory);
+/** pgw_recent_parts_clear() - the upstream lost all parts */
+void pgw_recent_parts_clear(struct pgw_recent_parts *recent);
 
 #endif
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -12,7 +12,7 @@
     .help = "Answers that belonged to another request",
 };
 
-static struct pgw_metric_gauge prefill_tokens_per_ms = {
+static struct pgw_metric_gauge read_rate = {
     .name = "pgw_engine_read_tokens_per_ms",
     .help = "Tokens that an engine reads in a millisecond, as observed",
 };
@@ -120,11 +120,10 @@
         return;
     }
     pgw_moving_average_add(
-        &gateway->prefill_tokens_per_ms,
+        &gateway->read_rate,
         read * 1000.0 / (double)(now_us - exchange->sent_us + 1), now_us);
-    pgw_metric_register_gauge(&prefill_tokens_per_ms);
-    pgw_metric_gauge_set(&prefill_tokens_per_ms,
-                         (int64_t)gateway->prefill_tokens_per_ms.value);
+    pgw_metric_register_gauge(&read_rate);
+    pgw_metric_gauge_set(&read_rate, (int64_t)gateway->read_rate.value);
 }
 
 /* The prompt has been read: it is in the engine's memory now. */
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -635,8 +635,8 @@
 }
 
 double
-pgw_upstream_unread(const struct pgw_upstream *upstream,
-                    double prefill_tokens_per_ms, uint64_t now_us)
+pgw_upstream_unread(const struct pgw_upstream *upstream, double read_rate,
+                    uint64_t now_us)
 {
     uint64_t reported = upstream->load.unread;
     uint64_t own = upstream->load_own_unread;
@@ -646,9 +646,7 @@
         reported <= own) {
         return 0;
     }
-    return MAX((double)(reported - own) -
-                   (double)age / 1000 * prefill_tokens_per_ms,
-               0);
+    return MAX((double)(reported - own) - (double)age / 1000 * read_rate, 0);
 }
 
 double
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -378,11 +378,11 @@
  * pgw_upstream_unread() - prompt tokens that it has to read for others, as far
  * as they were announced
  * @upstream: the engine
- * @prefill_tokens_per_ms: tokens that an engine reads in a millisecond
+ * @read_rate: tokens that an engine reads in a millisecond
  * @now_us: monotonic time
  */
 double pgw_upstream_unread(const struct pgw_upstream *upstream,
-                           double prefill_tokens_per_ms, uint64_t now_us);
+                           double read_rate, uint64_t now_us);
 
 /** pgw_upstream_note()  - account the end of an attempt */
 void pgw_upstream_note(struct pgw_upstream *upstream,
