--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -232,7 +232,7 @@
     exchange->sends++;
     exchange->runs++;
     if (exchange->runs > 1) {
-        pgw_quota_repeat(gateway->quota, exchange);
+        pgw_quota_charge_retry(gateway->quota, exchange);
     }
     exchange->sent_us = pgw_now_us();
     exchange->last_byte_us = 0;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -162,7 +162,7 @@
  * @probe: ask for an engine's load and which parts it holds; the answer comes
  *   through pgw_gateway_probe_answered(). false: it cannot be asked now
  * @ask_quota: ask the owner of a quota, or report to it; the answer comes
- *   through pgw_quota_answered(). false: it cannot be asked now
+ *   through pgw_quota_handle_answer(). false: it cannot be asked now
  */
 struct pgw_sidecar_ops {
     void (*announce)(void *context, const struct pgw_upstream *upstream,
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -3,15 +3,16 @@
 #include "util/log.h"
 #include "util/metric.h"
 
-/* What was admitted is reported after this time at the latest. */
-#define REPORT_US 250000
-/* How often an entry that has just started looks for a link. */
-#define LINKS_US 20000
-/* Who is asked in turn: the owner, and those that stand in for it. */
-#define TRIES 3
-/* A caller that was refused because nobody answered comes to another entry,
- * which can ask. */
-#define ELSEWHERE_MS 100
+/* Maximum time until spent units are reported. */
+#define REPORT_INTERVAL_US 250000
+/* Interval at which an entry that has just started checks for a sidecar link.
+ */
+#define LINK_CHECK_US 20000
+/* Number of sidecars tried in turn: the owner and its fallbacks. */
+#define OWNERS_TRIED 3
+/* If no sidecar can be asked, the caller retries soon and may reach another
+ * entry, which can. */
+#define RETRY_ELSEWHERE_MS 100
 
 static struct pgw_metric_counter asks = {
     .name = "pgw_quota_asks_total",
@@ -19,22 +20,22 @@
 };
 static struct pgw_metric_counter unanswered = {
     .name = "pgw_quota_asks_unanswered_total",
-    .help = "Of these, decided without its answer",
+    .help = "Of these, requests decided without its answer",
 };
 static struct pgw_metric_counter refused = {
     .name = "pgw_quota_refused_total",
-    .help = "Requests refused since they were beyond a quota",
+    .help = "Requests refused because they exceeded a quota",
 };
 
 /**
- * struct workspace_quota - one workspace with a quota
- * @key: pgw_quota_key() of it
- * @terms: its quota as last known here
- * @share: what is known of it
+ * struct workspace_quota - a workspace with a quota
+ * @key: pgw_quota_key() of the workspace
+ * @limits: quota in the newest configuration seen
+ * @share: what this entry knows and has spent of it
  */
 struct workspace_quota {
     uint64_t key;
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     struct pgw_quota_share share;
 };
 
@@ -53,46 +54,46 @@
 pgw_quota_cost(const struct pgw_quota_units *units, bool has_tokens,
                double tokens)
 {
-    if (!units->tokens) {
+    if (!units->counts_tokens) {
         return 1;
     }
-    return has_tokens ? tokens : units->plain;
+    return has_tokens ? tokens : units->default_tokens;
 }
 
-/* Sends an ask with all that is unreported to the first that can be reached.
- */
+/* Sends an ask, with all unreported units, to the first owner that can be
+ * reached. */
 static bool
 send_ask(struct pgw_quota *quota, struct workspace_quota *workspace,
          uint64_t ask, double cost)
 {
     const struct pgw_gateway *gateway = quota->gateway;
     uint64_t now = pgw_now_us();
-    size_t ranked[TRIES];
+    size_t ranked[OWNERS_TRIED];
     size_t count;
     struct pgw_quota_share before = workspace->share;
     struct pgw_quota_ask message = {
         .ask = ask,
         .request = {.workspace = workspace->key,
-                    .terms = workspace->terms,
+                    .limits = workspace->limits,
                     .cost = cost},
     };
 
     if (gateway->sidecars == NULL) {
         return false;
     }
-    pgw_quota_share_report(&workspace->share, &message.request);
-    count =
-        pgw_quota_owners_rank(ranked, TRIES, &quota->owners, workspace->key);
+    pgw_quota_share_take_unreported(&workspace->share, &message.request);
+    count = pgw_quota_owners_rank(ranked, OWNERS_TRIED, &quota->owners,
+                                  workspace->key);
     for (size_t i = 0; i < count; i++) {
         size_t position = ranked[i];
 
-        message.stands_in = i > 0;
-        if (pgw_quota_owners_may_ask(&quota->owners, position, now) &&
+        message.is_fallback = i > 0;
+        if (pgw_quota_owners_is_available(&quota->owners, position, now) &&
             gateway->sidecars->ask_quota(gateway->sidecars_context,
                                          quota->owners.items[position],
                                          &message)) {
-            if (quota->owners.asked_at_us[position] == 0) {
-                quota->owners.asked_at_us[position] = now;
+            if (quota->owners.unanswered_since_us[position] == 0) {
+                quota->owners.unanswered_since_us[position] = now;
             }
             return true;
         }
@@ -102,7 +103,7 @@
 }
 
 static void
-report_due(struct pgw_timer *timer)
+send_reports(struct pgw_timer *timer)
 {
     struct pgw_quota *quota =
         pgw_container_of(timer, struct pgw_quota, report_timer);
@@ -134,7 +135,7 @@
     quota->by_workspace =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     quota->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
-    quota->report_timer.on_due = report_due;
+    quota->report_timer.on_due = send_reports;
     return quota;
 }
 
@@ -162,29 +163,29 @@
 }
 
 static struct workspace_quota *
-workspace_of(struct pgw_quota *quota, const struct pgw_exchange *exchange)
+update_workspace(struct pgw_quota *quota, const struct pgw_exchange *exchange)
 {
-    const struct pgw_workspace *said = exchange->workspace;
+    const struct pgw_workspace *config = exchange->workspace;
     uint64_t version = pgw_route_table_version(exchange->table);
     struct workspace_quota *workspace;
     uint64_t key;
 
-    if (said == NULL || said->quota_rate <= 0) {
+    if (config == NULL || config->quota_rate <= 0) {
         return NULL;
     }
-    key = pgw_quota_key(said->name);
+    key = pgw_quota_key(config->name);
     workspace = g_hash_table_lookup(quota->by_workspace, &key);
     if (workspace == NULL) {
         workspace = g_new0(struct workspace_quota, 1);
         workspace->key = key;
         g_hash_table_insert(quota->by_workspace, &workspace->key, workspace);
     }
-    if (version >= workspace->terms.version) {
-        workspace->terms = (struct pgw_quota_terms){
-            .rate = said->quota_rate,
-            /* An empty bucket that takes nothing would never grant. */
-            .burst = said->quota_burst > 0 ? said->quota_burst
-                                           : said->quota_rate / 2,
+    if (version >= workspace->limits.version) {
+        workspace->limits = (struct pgw_quota_limits){
+            .rate = config->quota_rate,
+            /* A bucket without capacity would never grant anything. */
+            .burst = config->quota_burst > 0 ? config->quota_burst
+                                             : config->quota_rate / 2,
             .version = version,
         };
     }
@@ -192,17 +193,18 @@
 }
 
 static void
-spend(struct pgw_quota *quota, struct workspace_quota *workspace, double units)
+charge(struct pgw_quota *quota, struct workspace_quota *workspace,
+       double units)
 {
     struct pgw_loop *loop = quota->gateway->loop;
 
     pgw_quota_share_spend(&workspace->share, units);
-    if (pgw_quota_share_is_due(&workspace->share, &workspace->terms,
-                               quota->entries)) {
+    if (pgw_quota_share_report_is_due(&workspace->share, &workspace->limits,
+                                      quota->entries)) {
         send_ask(quota, workspace, 0, 0);
     }
     else if (quota->report_timer.position == 0) {
-        pgw_timer_start(loop, &quota->report_timer, REPORT_US);
+        pgw_timer_start(loop, &quota->report_timer, REPORT_INTERVAL_US);
     }
 }
 
@@ -215,19 +217,19 @@
     pgw_exchange_refuse(exchange, 429, "over_quota", (uint32_t)retry_ms);
 }
 
-/* When a caller should come back that is refused by the owner's last answer.
- */
+/* Time after which a caller should retry that is refused by the owner's last
+ * answer. */
 static uint64_t
-retry_ms_of(const struct pgw_quota_share *share)
+retry_after_ms(const struct pgw_quota_share *share)
 {
     uint64_t now = pgw_now_us();
 
     return share->retry_at_us > now ? (share->retry_at_us - now) / 1000 + 1
-                                    : ELSEWHERE_MS;
+                                    : RETRY_ELSEWHERE_MS;
 }
 
 static void
-drop_ask(struct pgw_quota *quota, struct pgw_exchange *exchange)
+forget_ask(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
     if (exchange->quota_ask != 0) {
         g_hash_table_remove(quota->asks, &exchange->quota_ask);
@@ -235,33 +237,33 @@
     }
 }
 
-/* Returns whether it may be placed; else it was refused. */
+/* Returns whether the request may be dispatched; else it was refused. */
 static bool
-decide_alone(struct pgw_quota *quota, struct workspace_quota *workspace,
-             struct pgw_exchange *exchange)
+decide_locally(struct pgw_quota *quota, struct workspace_quota *workspace,
+               struct pgw_exchange *exchange)
 {
     pgw_metric_counter_add(&unanswered, 1);
-    if (pgw_quota_share_decide_alone(&workspace->share, &workspace->terms,
-                                     &quota->bounds, quota->entries,
-                                     exchange->quota_cost,
-                                     pgw_now_us()) == PGW_QUOTA_REFUSE) {
-        refuse(workspace, exchange, ELSEWHERE_MS);
+    if (pgw_quota_share_decide_locally(&workspace->share, &workspace->limits,
+                                       &quota->bounds, quota->entries,
+                                       exchange->quota_cost,
+                                       pgw_now_us()) == PGW_QUOTA_REFUSE) {
+        refuse(workspace, exchange, RETRY_ELSEWHERE_MS);
         return false;
     }
     exchange->quota_spent = exchange->quota_cost;
-    spend(quota, workspace, exchange->quota_cost);
+    charge(quota, workspace, exchange->quota_cost);
     return true;
 }
 
 static void
-answer_late(struct pgw_timer *timer)
+on_answer_timeout(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
     struct pgw_quota *quota = exchange->gateway->quota;
 
-    drop_ask(quota, exchange);
-    if (decide_alone(quota, workspace_of(quota, exchange), exchange)) {
+    forget_ask(quota, exchange);
+    if (decide_locally(quota, update_workspace(quota, exchange), exchange)) {
         pgw_exchange_place(exchange);
     }
 }
@@ -278,14 +280,14 @@
     pgw_metric_counter_add(&asks, 1);
     exchange->quota_ask = ask;
     g_hash_table_insert(quota->asks, &exchange->quota_ask, exchange);
-    exchange->attempt_timer.on_due = answer_late;
+    exchange->attempt_timer.on_due = on_answer_timeout;
     pgw_timer_start(quota->gateway->loop, &exchange->attempt_timer,
                     quota->gateway->options.quota_wait_us);
     return true;
 }
 
 static void
-links_due(struct pgw_timer *timer)
+on_link_check(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
@@ -296,12 +298,12 @@
 }
 
 /*
- * Failure: an entry that has just started has its configuration before it has
- * connected to any sidecar. Symptom: callers are refused for quotas that are
- * hardly used. Requests wait for the links, but not for long.
+ * Failure: an entry that has just started receives its configuration before it
+ * has connected to any sidecar. Symptom: callers are refused although their
+ * quota is hardly used. Therefore requests wait a limited time for the links.
  */
 static bool
-waits_for_links(struct pgw_quota *quota, struct pgw_exchange *exchange)
+wait_for_links(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
     const struct pgw_gateway *gateway = quota->gateway;
 
@@ -309,15 +311,15 @@
         gateway->options.quota_start_us) {
         return false;
     }
-    exchange->attempt_timer.on_due = links_due;
-    pgw_timer_start(gateway->loop, &exchange->attempt_timer, LINKS_US);
+    exchange->attempt_timer.on_due = on_link_check;
+    pgw_timer_start(gateway->loop, &exchange->attempt_timer, LINK_CHECK_US);
     return true;
 }
 
 bool
 pgw_quota_admit(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
-    struct workspace_quota *workspace = workspace_of(quota, exchange);
+    struct workspace_quota *workspace = update_workspace(quota, exchange);
     const struct pgw_request_facts *facts = &exchange->facts;
 
     if (workspace == NULL) {
@@ -326,32 +328,32 @@
     exchange->quota_cost = pgw_quota_cost(
         &exchange->workspace->quota_units, facts->has_tokens,
         (double)facts->prompt.tokens + facts->prompt.output_tokens);
-    switch (pgw_quota_share_decide(&workspace->share, &workspace->terms,
+    switch (pgw_quota_share_decide(&workspace->share, &workspace->limits,
                                    quota->entries, exchange->quota_cost,
                                    pgw_now_us())) {
     case PGW_QUOTA_ADMIT:
         exchange->quota_spent = exchange->quota_cost;
-        spend(quota, workspace, exchange->quota_cost);
+        charge(quota, workspace, exchange->quota_cost);
         return true;
     case PGW_QUOTA_ASK:
         return !ask_owner(quota, workspace, exchange) &&
-               !waits_for_links(quota, exchange) &&
-               decide_alone(quota, workspace, exchange);
+               !wait_for_links(quota, exchange) &&
+               decide_locally(quota, workspace, exchange);
     case PGW_QUOTA_REFUSE:
         break;
     }
-    refuse(workspace, exchange, retry_ms_of(&workspace->share));
+    refuse(workspace, exchange, retry_after_ms(&workspace->share));
     return false;
 }
 
 void
-pgw_quota_repeat(struct pgw_quota *quota, struct pgw_exchange *exchange)
+pgw_quota_charge_retry(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
-    struct workspace_quota *workspace = workspace_of(quota, exchange);
+    struct workspace_quota *workspace = update_workspace(quota, exchange);
 
     if (workspace != NULL) {
         exchange->quota_spent += exchange->quota_cost;
-        spend(quota, workspace, exchange->quota_cost);
+        charge(quota, workspace, exchange->quota_cost);
     }
 }
 
@@ -360,40 +362,41 @@
 {
     struct workspace_quota *workspace;
 
-    drop_ask(quota, exchange);
+    forget_ask(quota, exchange);
     if (exchange->quota_spent <= 0 || exchange->runs > 0 ||
         exchange->may_have_run) {
         return;
     }
-    workspace = workspace_of(quota, exchange);
+    workspace = update_workspace(quota, exchange);
     if (workspace != NULL) {
-        spend(quota, workspace, -exchange->quota_spent);
+        charge(quota, workspace, -exchange->quota_spent);
     }
     exchange->quota_spent = 0;
 }
 
 void
-pgw_quota_answered(struct pgw_quota *quota,
-                   const struct pgw_upstream *upstream, uint64_t workspace_key,
-                   uint64_t ask, const struct pgw_quota_answer *answer)
+pgw_quota_handle_answer(struct pgw_quota *quota,
+                        const struct pgw_upstream *upstream,
+                        uint64_t workspace_key, uint64_t ask,
+                        const struct pgw_quota_answer *answer)
 {
     struct workspace_quota *workspace =
         g_hash_table_lookup(quota->by_workspace, &workspace_key);
     struct pgw_exchange *exchange = g_hash_table_lookup(quota->asks, &ask);
 
-    pgw_quota_owners_note_answer(&quota->owners, upstream);
+    pgw_quota_owners_record_answer(&quota->owners, upstream);
     if (workspace == NULL) {
         return;
     }
-    pgw_quota_share_take(&workspace->share, answer, pgw_now_us());
+    pgw_quota_share_apply_answer(&workspace->share, answer, pgw_now_us());
     if (exchange == NULL) {
-        /* Too late: the request was decided on without it, or has ended. */
+        /* Too late: the request was decided locally, or has ended. */
         if (answer->granted > 0) {
-            spend(quota, workspace, -answer->granted);
+            charge(quota, workspace, -answer->granted);
         }
         return;
     }
-    drop_ask(quota, exchange);
+    forget_ask(quota, exchange);
     pgw_timer_stop(quota->gateway->loop, &exchange->attempt_timer);
     if (answer->granted > 0) {
         exchange->quota_spent = exchange->quota_cost;
--- a/src/gateway/quota_bucket.h
+++ b/src/gateway/quota_bucket.h
@@ -5,38 +5,38 @@
 #include <stdint.h>
 
 /**
- * DOC: Token buckets of workspaces, at their owner
+ * DOC: Token buckets of workspaces, at the quota's owner
  *
- * A workspace's quota holds over all entries together. One sidecar, its owner,
- * keeps the bucket; entries ask it or report to it. A request is granted where
- * the bucket holds what it costs. Beyond its quota a workspace so loses its
- * long prompts first, each of which would take the place of dozens of short
- * requests; of what entries report the bucket may be overdrawn.
+ * A workspace's quota applies to all entries together. One sidecar, the owner,
+ * keeps the bucket; entries ask it or report to it. A request is granted if
+ * the bucket holds its cost. A workspace that exceeds its quota therefore
+ * loses long prompts first, each of which costs as much as dozens of short
+ * requests. Reports of spent units may overdraw the bucket.
  *
- * What was spent is in no store. An owner that starts, or takes over, knows
- * nothing of it, while another one may still be granting for some entries: its
- * buckets start with a part of what the bounds leave beyond the quota, and
- * fill slower at first. When entries have just started, too, there is no other
- * one.
+ * Buckets are not stored. An owner that starts or takes over does not know
+ * what was spent, while another owner may still be granting for some entries:
+ * its buckets start with part of what the bounds allow beyond the quota, and
+ * fill more slowly at first. If entries have just started as well, no other
+ * owner exists.
  */
 
 /**
- * struct pgw_quota_terms - a workspace's quota as the operator sets it
- * @rate: units a second, 0: no limit
+ * struct pgw_quota_limits - a workspace's quota as configured
+ * @rate: units per second, 0: no limit
  * @burst: units that may be spent at once
- * @version: of the configuration that says so
+ * @version: version of the configuration
  */
-struct pgw_quota_terms {
+struct pgw_quota_limits {
     double rate;
     double burst;
     uint64_t version;
 };
 
 /**
- * struct pgw_quota_bounds - what may be spent beyond the quotas
- * @window_s: in any so many seconds,
- * @overage: this share of what the quota allows in them,
- * @slack: and so many units
+ * struct pgw_quota_bounds - how far spending may exceed the quotas
+ * @window_s: length of the window that the bounds apply to
+ * @overage: share of a window's quota that may be spent beyond it
+ * @slack: units that may be spent in addition
  */
 struct pgw_quota_bounds {
     double window_s;
@@ -44,57 +44,59 @@
     double slack;
 };
 
-/** pgw_quota_beyond() - units that the bounds leave beyond a quota */
-double pgw_quota_beyond(const struct pgw_quota_bounds *bounds,
-                        const struct pgw_quota_terms *terms);
+/** pgw_quota_overage() - units that the bounds allow beyond a quota */
+double pgw_quota_overage(const struct pgw_quota_bounds *bounds,
+                         const struct pgw_quota_limits *limits);
 
 struct pgw_quota_buckets;
 
 /**
- * struct pgw_quota_buckets_options - how buckets begin
- * @bounds: what may be spent beyond the quotas
- * @full_until_us: until then buckets start full: nobody can have spent
- *   anything; 0: they never do
- * @start_part: part of what the bounds leave that a bucket else starts with
- * @restart_part: the same where no other owner can be granting
- * @slow_us: for how long it fills slower where another one can
- * @slow_share: part of the rate at which it does
+ * struct pgw_quota_buckets_options - initial state of buckets
+ * @bounds: how far spending may exceed the quotas
+ * @full_until_us: buckets created before this time start full, because nothing
+ *   can have been spent yet; 0: no bucket does
+ * @start_share: share of what the bounds allow beyond the quota that other
+ *   buckets start with
+ * @restart_share: the same if no other owner can be granting
+ * @slow_refill_us: how long a bucket fills more slowly if another owner may be
+ *   granting
+ * @slow_refill_share: share of the rate at which it fills then
  */
 struct pgw_quota_buckets_options {
     struct pgw_quota_bounds bounds;
     uint64_t full_until_us;
-    double start_part;
-    double restart_part;
-    uint64_t slow_us;
-    double slow_share;
+    double start_share;
+    double restart_share;
+    uint64_t slow_refill_us;
+    double slow_refill_share;
 };
 
 /*
- * Two owners overlap while entries do not yet all have the list of upstreams
- * that names the new one, for a second at most. What both then grant, the
- * start of the second one and what entries without an owner admit stay
- * together below what the bounds leave.
+ * Two owners overlap until all entries have the list of upstreams that names
+ * the new owner, for a second at most. What both grant in this time, the
+ * initial units of the second owner and what entries admit without an owner
+ * add up to less than the bounds allow.
  */
 #define PGW_QUOTA_BUCKETS_OPTIONS_INIT                                        \
     {                                                                         \
-        .start_part = 0.4, .restart_part = 0.8, .slow_us = 2000000,           \
-        .slow_share = 0.6                                                     \
+        .start_share = 0.4, .restart_share = 0.8, .slow_refill_us = 2000000,  \
+        .slow_refill_share = 0.6                                              \
     }
 
 /**
  * struct pgw_quota_request - what an entry asks or reports
- * @workspace: pgw_quota_key() of it
- * @terms: the quota as the entry knows it; those of the newest version hold
+ * @workspace: pgw_quota_key() of the workspace
+ * @limits: quota that the entry knows; the newest version applies
  * @spent: units spent since its last report; below 0: given back
- * @refused: units of requests that it refused since
+ * @refused: units of requests that the entry refused since
  * @cost: units that a request needs now, 0: only a report
- * @share: part of the rate that this owner may grant; below 1 where it stands
- *   in for another one that only some entries cannot reach
+ * @share: share of the rate that this owner may grant; below 1 if it is a
+ *   fallback for an owner that only some entries cannot reach
  * @restarted: entries have just started as well
  */
 struct pgw_quota_request {
     uint64_t workspace;
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     double spent;
     double refused;
     double cost;
@@ -103,12 +105,12 @@
 };
 
 /**
- * struct pgw_quota_answer - what the owner says
- * @granted: units that were taken: @cost, or 0
+ * struct pgw_quota_answer - answer of the owner
+ * @granted: units taken from the bucket: @cost, or 0
  * @level: units left; below 0: overdrawn
  * @wait_ms: time until the bucket is no longer overdrawn
- * @retry_ms: when a refused caller should come back: then all that was refused
- *   in the last second could have been granted
+ * @retry_ms: time after which a refused caller should retry: long enough to
+ *   grant all that was refused in the last second
  */
 struct pgw_quota_answer {
     double granted;
@@ -117,18 +119,20 @@
     uint32_t retry_ms;
 };
 
-/** pgw_quota_key() - number that stands for a workspace between processes */
+/** pgw_quota_key() - identifies a workspace between processes */
 uint64_t pgw_quota_key(const char *workspace);
 
-/** pgw_quota_buckets_new() - none yet; @options are copied */
+/** pgw_quota_buckets_new() - create an empty set of buckets; @options are
+ * copied */
 struct pgw_quota_buckets *
 pgw_quota_buckets_new(const struct pgw_quota_buckets_options *options);
 void pgw_quota_buckets_free(struct pgw_quota_buckets *buckets);
 
-/** pgw_quota_buckets_take() - account a report, and decide on a request */
-void pgw_quota_buckets_take(struct pgw_quota_answer *out,
-                            struct pgw_quota_buckets *buckets,
-                            const struct pgw_quota_request *request,
-                            uint64_t now_us);
+/** pgw_quota_buckets_handle_request() - account a report and decide on a
+ * request */
+void pgw_quota_buckets_handle_request(struct pgw_quota_answer *out,
+                                      struct pgw_quota_buckets *buckets,
+                                      const struct pgw_quota_request *request,
+                                      uint64_t now_us);
 
 #endif
--- a/src/gateway/quota_owners.c
+++ b/src/gateway/quota_owners.c
@@ -2,11 +2,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An owner that leaves an ask unanswered for so long is passed over: far
- * longer than a way there and back, and a turn of a busy process. */
-#define SILENT_US 300000
-/* For so long; then it is asked again. */
-#define PASSED_OVER_US 2000000
+/* An owner that has not answered an ask for this long is unavailable. The time
+ * is far above a round trip plus an event loop turn of a busy process. */
+#define ANSWER_TIMEOUT_US 300000
+/* How long an owner is not asked after a timeout. */
+#define UNAVAILABLE_US 2000000
 
 void
 pgw_quota_owners_clear(struct pgw_quota_owners *owners)
@@ -18,7 +18,7 @@
 }
 
 static int
-lowest_first(const void *a, const void *b)
+compare_hashes(const void *a, const void *b)
 {
     const struct pgw_upstream *left = *(struct pgw_upstream *const *)a;
     const struct pgw_upstream *right = *(struct pgw_upstream *const *)b;
@@ -33,8 +33,8 @@
 {
     for (size_t i = 0; i < from->count; i++) {
         if (from->items[i]->id_hash == to->items[position]->id_hash) {
-            to->asked_at_us[position] = from->asked_at_us[i];
-            to->passed_over_until_us[position] = from->passed_over_until_us[i];
+            to->unanswered_since_us[position] = from->unanswered_since_us[i];
+            to->unavailable_until_us[position] = from->unavailable_until_us[i];
         }
     }
 }
@@ -54,7 +54,7 @@
             g_ptr_array_add(engines, upstream);
         }
     }
-    g_ptr_array_sort(engines, lowest_first);
+    g_ptr_array_sort(engines, compare_hashes);
     memset(owners, 0, sizeof(*owners));
     owners->count = MIN(engines->len, PGW_QUOTA_OWNERS_MAX);
     for (size_t i = 0; i < owners->count; i++) {
@@ -66,7 +66,7 @@
 }
 
 size_t
-pgw_quota_owners_rank(size_t *out, size_t most,
+pgw_quota_owners_rank(size_t *out, size_t max_count,
                       const struct pgw_quota_owners *owners,
                       uint64_t workspace)
 {
@@ -78,7 +78,7 @@
 
         scores[i] = XXH3_64bits_withSeed(&hash, sizeof(hash), workspace);
     }
-    while (count < most && count < owners->count) {
+    while (count < max_count && count < owners->count) {
         size_t best = owners->count;
 
         for (size_t i = 0; i < owners->count; i++) {
@@ -98,26 +98,26 @@
 }
 
 bool
-pgw_quota_owners_may_ask(struct pgw_quota_owners *owners, size_t position,
-                         uint64_t now_us)
+pgw_quota_owners_is_available(struct pgw_quota_owners *owners, size_t position,
+                              uint64_t now_us)
 {
-    uint64_t asked = owners->asked_at_us[position];
+    uint64_t since_us = owners->unanswered_since_us[position];
 
-    if (asked > 0 && now_us - asked > SILENT_US) {
-        owners->asked_at_us[position] = 0;
-        owners->passed_over_until_us[position] = now_us + PASSED_OVER_US;
+    if (since_us > 0 && now_us - since_us > ANSWER_TIMEOUT_US) {
+        owners->unanswered_since_us[position] = 0;
+        owners->unavailable_until_us[position] = now_us + UNAVAILABLE_US;
     }
-    return now_us >= owners->passed_over_until_us[position];
+    return now_us >= owners->unavailable_until_us[position];
 }
 
 void
-pgw_quota_owners_note_answer(struct pgw_quota_owners *owners,
-                             const struct pgw_upstream *upstream)
+pgw_quota_owners_record_answer(struct pgw_quota_owners *owners,
+                               const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < owners->count; i++) {
         if (owners->items[i]->id_hash == upstream->id_hash) {
-            owners->asked_at_us[i] = 0;
-            owners->passed_over_until_us[i] = 0;
+            owners->unanswered_since_us[i] = 0;
+            owners->unavailable_until_us[i] = 0;
         }
     }
 }
--- a/src/gateway/quota_share.c
+++ b/src/gateway/quota_share.c
@@ -1,27 +1,28 @@
 #include "gateway/quota_share.h"
 #include <glib.h>
 
-/* The owner's answer holds for so long. */
-#define FRESH_US 1000000
-/* Part of a bucket that all entries together may admit without asking. */
-#define FREE_PART 0.25
-/* What is admitted so is reported in so many steps. */
+/* How long the level in the owner's answer is used. */
+#define LEVEL_VALID_US 1000000
+/* Share of a bucket that all entries together may admit without asking. */
+#define UNASKED_SHARE 0.25
+/* Number of reports in which an entry reports its part of that share. */
 #define REPORT_STEPS 4
-/* Part of what the bounds leave beside the quotas that entries without an
- * owner use; the rest is for changes of owners. */
-#define ALONE_PART 0.2
+/* Share of what the bounds allow beyond the quotas for entries that reach no
+ * owner; the rest is for changes of owners. */
+#define LOCAL_ALLOWANCE_SHARE 0.2
 
 static bool
-is_plenty(const struct pgw_quota_share *share,
-          const struct pgw_quota_terms *terms, uint64_t now_us)
+has_ample_level(const struct pgw_quota_share *share,
+                const struct pgw_quota_limits *limits, uint64_t now_us)
 {
-    return share->level_at_us > 0 && now_us - share->level_at_us < FRESH_US &&
-           share->level >= terms->burst / 2;
+    return share->level_at_us > 0 &&
+           now_us - share->level_at_us < LEVEL_VALID_US &&
+           share->level >= limits->burst / 2;
 }
 
-/* Units that this entry may admit of the bucket as it was last known. */
+/* This entry's share of the last known level, less what it has spent since. */
 static double
-own_part(const struct pgw_quota_share *share, uint32_t entries)
+unspent_share(const struct pgw_quota_share *share, uint32_t entries)
 {
     return share->level / MAX(entries, 1) - share->unreported -
            share->unanswered;
@@ -29,44 +30,46 @@
 
 enum pgw_quota_verdict
 pgw_quota_share_decide(const struct pgw_quota_share *share,
-                       const struct pgw_quota_terms *terms, uint32_t entries,
+                       const struct pgw_quota_limits *limits, uint32_t entries,
                        double cost, uint64_t now_us)
 {
     if (now_us < share->refuse_until_us) {
         return PGW_QUOTA_REFUSE;
     }
-    if (is_plenty(share, terms, now_us) &&
+    if (has_ample_level(share, limits, now_us) &&
         share->unreported + share->unanswered + cost <=
-            share->level * FREE_PART / MAX(entries, 1)) {
+            share->level * UNASKED_SHARE / MAX(entries, 1)) {
         return PGW_QUOTA_ADMIT;
     }
     return PGW_QUOTA_ASK;
 }
 
 enum pgw_quota_verdict
-pgw_quota_share_decide_alone(struct pgw_quota_share *share,
-                             const struct pgw_quota_terms *terms,
-                             const struct pgw_quota_bounds *bounds,
-                             uint32_t entries, double cost, uint64_t now_us)
+pgw_quota_share_decide_locally(struct pgw_quota_share *share,
+                               const struct pgw_quota_limits *limits,
+                               const struct pgw_quota_bounds *bounds,
+                               uint32_t entries, double cost, uint64_t now_us)
 {
-    /* In a window at most what has gathered before it, and what comes in it.
-     */
-    double most =
-        pgw_quota_beyond(bounds, terms) * ALONE_PART / 2 / MAX(entries, 1);
+    /* Half of the share accrues during a window, and half may have accrued
+     * before it. */
+    double max_allowance = pgw_quota_overage(bounds, limits) *
+                           LOCAL_ALLOWANCE_SHARE / 2 / MAX(entries, 1);
 
-    if (is_plenty(share, terms, now_us) && own_part(share, entries) > 0) {
+    if (has_ample_level(share, limits, now_us) &&
+        unspent_share(share, entries) > 0) {
         return PGW_QUOTA_ADMIT;
     }
-    if (share->alone_at_us > 0 && bounds->window_s > 0) {
-        share->alone += most * (double)(now_us - share->alone_at_us) / 1e6 /
-                        bounds->window_s;
+    if (share->local_allowance_at_us > 0 && bounds->window_s > 0) {
+        share->local_allowance +=
+            max_allowance * (double)(now_us - share->local_allowance_at_us) /
+            1e6 / bounds->window_s;
     }
-    share->alone = MIN(share->alone, most);
-    share->alone_at_us = now_us;
-    if (share->alone < cost) {
+    share->local_allowance = MIN(share->local_allowance, max_allowance);
+    share->local_allowance_at_us = now_us;
+    if (share->local_allowance < cost) {
         return PGW_QUOTA_REFUSE;
     }
-    share->alone -= cost;
+    share->local_allowance -= cost;
     return PGW_QUOTA_ADMIT;
 }
 
@@ -77,16 +80,17 @@
 }
 
 bool
-pgw_quota_share_is_due(const struct pgw_quota_share *share,
-                       const struct pgw_quota_terms *terms, uint32_t entries)
+pgw_quota_share_report_is_due(const struct pgw_quota_share *share,
+                              const struct pgw_quota_limits *limits,
+                              uint32_t entries)
 {
     return share->unreported * MAX(entries, 1) * REPORT_STEPS >
-           terms->burst * FREE_PART;
+           limits->burst * UNASKED_SHARE;
 }
 
 void
-pgw_quota_share_report(struct pgw_quota_share *share,
-                       struct pgw_quota_request *out)
+pgw_quota_share_take_unreported(struct pgw_quota_share *share,
+                                struct pgw_quota_request *out)
 {
     out->spent = share->unreported;
     out->refused = share->refused;
@@ -96,8 +100,9 @@
 }
 
 void
-pgw_quota_share_take(struct pgw_quota_share *share,
-                     const struct pgw_quota_answer *answer, uint64_t now_us)
+pgw_quota_share_apply_answer(struct pgw_quota_share *share,
+                             const struct pgw_quota_answer *answer,
+                             uint64_t now_us)
 {
     share->level = answer->level;
     share->level_at_us = now_us;
--- a/src/gateway/sidecar_links_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -110,13 +110,13 @@
     }
     message.workspace = ask->request.workspace;
     message.ask = ask->ask;
-    message.rate = ask->request.terms.rate;
-    message.burst = ask->request.terms.burst;
-    message.version = ask->request.terms.version;
+    message.rate = ask->request.limits.rate;
+    message.burst = ask->request.limits.burst;
+    message.version = ask->request.limits.version;
     message.spent = ask->request.spent;
     message.refused = ask->request.refused;
     message.cost = ask->request.cost;
-    message.stands_in = ask->stands_in;
+    message.stands_in = ask->is_fallback;
     pgw_link_send(guard->link, PGW_FRAME_QUOTA_ASK, &message.base);
     return true;
 }
@@ -135,8 +135,9 @@
         pgw_sidecar_link_upstream(guard->links, guard->engine);
 
     if (upstream != NULL) {
-        pgw_quota_answered(pgw_gateway_quota(guard->links->gateway), upstream,
-                           message->workspace, message->ask, &answer);
+        pgw_quota_handle_answer(pgw_gateway_quota(guard->links->gateway),
+                                upstream, message->workspace, message->ask,
+                                &answer);
     }
 }
 
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -3,47 +3,48 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Sidecars that own quotas, played by the test. */
+/* Sidecars that own quotas, simulated by the test. */
 #define OWNERS 3
 
 /**
- * struct owners - what they were asked
- * @reachable: asks reach them
+ * struct fake_owners - state of the simulated owners
+ * @reachable: whether asks reach each of them
  * @asks: number of asks for a request
- * @last: the last one
- * @asked: position of the one that got it
+ * @last: the last ask
+ * @asked_position: position of the owner that received the last ask
  * @given_back: units that were reported as given back
+ * @answer: answer to the next ask
  */
-struct owners {
+struct fake_owners {
     bool reachable[OWNERS];
     unsigned asks;
     struct pgw_quota_ask last;
-    int asked;
+    int asked_position;
     double given_back;
     struct pgw_quota_answer answer;
 };
 
-/* Asked on the gateway's thread, looked at on the test's. */
-static struct owners owners;
-static pthread_mutex_t owners_lock = PTHREAD_MUTEX_INITIALIZER;
+/* Written on the gateway's thread, read on the test's. */
+static struct fake_owners fake_owners;
+static pthread_mutex_t state_lock = PTHREAD_MUTEX_INITIALIZER;
 
-static struct owners
-look(void)
+static struct fake_owners
+copy_state(void)
 {
-    struct owners copy;
+    struct fake_owners copy;
 
-    pthread_mutex_lock(&owners_lock);
-    copy = owners;
-    pthread_mutex_unlock(&owners_lock);
+    pthread_mutex_lock(&state_lock);
+    copy = fake_owners;
+    pthread_mutex_unlock(&state_lock);
     return copy;
 }
 
 static void
 set_reachable(int position, bool reachable)
 {
-    pthread_mutex_lock(&owners_lock);
-    owners.reachable[position] = reachable;
-    pthread_mutex_unlock(&owners_lock);
+    pthread_mutex_lock(&state_lock);
+    fake_owners.reachable[position] = reachable;
+    pthread_mutex_unlock(&state_lock);
 }
 
 static void
@@ -57,17 +58,17 @@
 static void
 set_answer(struct pgw_quota_answer answer)
 {
-    pthread_mutex_lock(&owners_lock);
-    owners.answer = answer;
-    pthread_mutex_unlock(&owners_lock);
+    pthread_mutex_lock(&state_lock);
+    fake_owners.answer = answer;
+    pthread_mutex_unlock(&state_lock);
 }
 
 static void
-forget_asks(void)
+reset_state(void)
 {
-    pthread_mutex_lock(&owners_lock);
-    memset(&owners, 0, sizeof(owners));
-    pthread_mutex_unlock(&owners_lock);
+    pthread_mutex_lock(&state_lock);
+    memset(&fake_owners, 0, sizeof(fake_owners));
+    pthread_mutex_unlock(&state_lock);
 }
 
 static bool
@@ -78,17 +79,17 @@
     bool reachable;
 
     (void)context;
-    pthread_mutex_lock(&owners_lock);
-    reachable = owners.reachable[position];
+    pthread_mutex_lock(&state_lock);
+    reachable = fake_owners.reachable[position];
     if (reachable) {
-        owners.given_back -= MIN(ask->request.spent, 0);
+        fake_owners.given_back -= MIN(ask->request.spent, 0);
     }
     if (reachable && ask->ask != 0) {
-        owners.asks++;
-        owners.last = *ask;
-        owners.asked = position;
+        fake_owners.asks++;
+        fake_owners.last = *ask;
+        fake_owners.asked_position = position;
     }
-    pthread_mutex_unlock(&owners_lock);
+    pthread_mutex_unlock(&state_lock);
     return reachable;
 }
 
@@ -118,18 +119,18 @@
     pgw_quota_upstreams_changed(pgw_gateway_quota(scene->gateway));
 }
 
-/* On the gateway's thread, like the sidecar's word. */
+/* Runs on the gateway's thread, like a sidecar's answer. */
 static void
 answer_ask(struct scene *scene)
 {
-    struct owners seen = look();
+    struct fake_owners state = copy_state();
     char id[16];
 
-    g_snprintf(id, sizeof(id), "e%d", seen.asked);
-    pgw_quota_answered(
+    g_snprintf(id, sizeof(id), "e%d", state.asked_position);
+    pgw_quota_handle_answer(
         pgw_gateway_quota(scene->gateway),
         pgw_upstream_table_find(pgw_gateway_upstreams(scene->gateway), id),
-        seen.last.request.workspace, seen.last.ask, &seen.answer);
+        state.last.request.workspace, state.last.ask, &state.answer);
 }
 
 static void
@@ -143,18 +144,18 @@
 {
     for (unsigned i = 0; i < 20000; i++) {
         scene_run(scene, do_nothing);
-        if (look().asks >= asks) {
+        if (copy_state().asks >= asks) {
             return;
         }
         g_usleep(1000);
     }
-    g_assert_cmpuint(look().asks, >=, asks);
+    g_assert_cmpuint(copy_state().asks, >=, asks);
 }
 
 static struct scene *
-set_up(struct scene *scene)
+set_up_owners(struct scene *scene)
 {
-    forget_asks();
+    reset_state();
     set_all_reachable(true);
     scene_set_quota(scene, 5, 100, 100);
     scene_run(scene, add_owners);
@@ -162,9 +163,9 @@
 }
 
 static struct scene *
-open_scene(void)
+set_up_scene(void)
 {
-    return set_up(scene_new(1));
+    return set_up_owners(scene_new(1));
 }
 
 static void
@@ -188,17 +189,18 @@
     close(upstream);
 }
 
-/* A request must not reach an upstream before the owner has granted it, and a
- * refused one never, with the promise that it did not run. */
+/* A request must not reach an upstream before the owner has granted it. A
+ * refused request must never reach one, and its answer must say that it did
+ * not run. */
 static void
 test_owner_decides(void)
 {
-    struct scene *scene = open_scene();
+    struct scene *scene = set_up_scene();
     int caller = scene_call(scene, "/once/", "a");
 
     wait_for_asks(scene, 1);
-    g_assert_cmpfloat(look().last.request.cost, ==, 1);
-    g_assert_cmpfloat(look().last.request.terms.rate, ==, 100);
+    g_assert_cmpfloat(copy_state().last.request.cost, ==, 1);
+    g_assert_cmpfloat(copy_state().last.request.limits.rate, ==, 100);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
@@ -208,10 +210,10 @@
         .level = -500, .wait_ms = 590000, .retry_ms = 590000});
     scene_run(scene, answer_ask);
     expect(caller, "HTTP/1.1 429 ", "\"ran\":\"no\"");
-    /* What the owner said holds for the next one, too. */
+    /* The owner's refusal applies to the next request, too. */
     caller = scene_call(scene, "/once/", "c");
     expect(caller, "HTTP/1.1 429 ", "Retry-After: 5");
-    g_assert_cmpuint(look().asks, ==, 2);
+    g_assert_cmpuint(copy_state().asks, ==, 2);
     g_assert_true(scene_is_quiet(scene, 0));
     scene_free(scene);
 }
@@ -220,66 +222,66 @@
 static void
 test_no_burst(void)
 {
-    struct scene *scene = set_up(scene_new(1));
+    struct scene *scene = set_up_owners(scene_new(1));
     int caller;
 
     scene_set_quota(scene, 6, 100, 0);
     caller = scene_call(scene, "/once/", "a");
     wait_for_asks(scene, 1);
-    g_assert_cmpfloat(look().last.request.terms.burst, ==, 50);
+    g_assert_cmpfloat(copy_state().last.request.limits.burst, ==, 50);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
     scene_free(scene);
 }
 
-/* Requests of a workspace that is far below its quota must not wait for the
- * owner's word each time. */
+/* Requests of a workspace that is far below its quota must not each wait for
+ * the owner's answer. */
 static void
-test_plenty_is_not_asked_for(void)
+test_ample_level_needs_no_ask(void)
 {
-    struct scene *scene = open_scene();
+    struct scene *scene = set_up_scene();
     unsigned calls = 0;
 
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 99});
-    /* The owner's word is fresh for a time: on a busy machine not for the next
-     * call, but for one of many. */
-    while (calls == look().asks && calls < 100) {
-        unsigned asks = look().asks;
+    /* The level in an owner's answer expires. On a busy machine it may be too
+     * old for the next call, but not for all of many. */
+    while (calls == copy_state().asks && calls < 100) {
+        unsigned asks = copy_state().asks;
         int caller = scene_call(scene, "/once/", "a");
 
         calls++;
         while (scene_is_quiet(scene, 0)) {
             scene_run(scene, do_nothing);
-            if (look().asks > asks) {
-                asks = look().asks;
+            if (copy_state().asks > asks) {
+                asks = copy_state().asks;
                 scene_run(scene, answer_ask);
             }
         }
         serve(scene, caller, "a");
     }
-    g_assert_cmpuint(look().asks, <, calls);
+    g_assert_cmpuint(copy_state().asks, <, calls);
     scene_free(scene);
 }
 
-/* The owner cannot be reached: the next in rank stands in for it, and says so
- * by what it is told. With nobody at all a caller is sent elsewhere at once.
- */
+/* If the owner cannot be reached, the next in rank is asked as a fallback, and
+ * the ask says so. If none can be reached, the caller is refused at once and
+ * can try another entry. */
 static void
-test_others_stand_in(void)
+test_fallback_owner(void)
 {
-    struct scene *scene = open_scene();
+    struct scene *scene = set_up_scene();
     int caller = scene_call(scene, "/once/", "a");
 
     wait_for_asks(scene, 1);
-    g_assert_false(look().last.stands_in);
+    g_assert_false(copy_state().last.is_fallback);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
-    set_reachable(look().asked, false);
+    set_reachable(copy_state().asked_position, false);
     caller = scene_call(scene, "/once/", "b");
     wait_for_asks(scene, 2);
-    g_assert_true(look().last.stands_in);
+    g_assert_true(copy_state().last.is_fallback);
     scene_run(scene, answer_ask);
     serve(scene, caller, "b");
     set_all_reachable(false);
@@ -288,12 +290,12 @@
     scene_free(scene);
 }
 
-/* Callers that come to an entry before it has reached any sidecar must be
- * served once it has, not refused for a quota that nobody has used. */
+/* Callers that reach an entry before it has a link to any sidecar must be
+ * served once it has one, not refused for an unused quota. */
 static void
 test_waits_for_links(void)
 {
-    struct scene *scene = set_up(scene_new_paused(1));
+    struct scene *scene = set_up_owners(scene_new_paused(1));
     int caller;
 
     set_all_reachable(false);
@@ -309,12 +311,12 @@
     scene_free(scene);
 }
 
-/* What was taken for a request that no upstream ran must be given back: else
+/* Units taken for a request that no upstream ran must be given back; otherwise
  * callers are refused below their quota. */
 static void
 test_not_run_is_given_back(void)
 {
-    struct scene *scene = open_scene();
+    struct scene *scene = set_up_scene();
     int caller = scene_call(scene, "/once/", "a");
 
     wait_for_asks(scene, 1);
@@ -322,7 +324,7 @@
     for (unsigned i = 0; i < 200; i++) {
         scene_run(scene, do_nothing);
     }
-    /* Too late: its caller has left. */
+    /* The answer comes too late: the caller has left. */
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     scene_stop_listening(scene, 0);
@@ -332,7 +334,7 @@
     expect(caller, "HTTP/1.1 503 ", "\"ran\":\"no\"");
     caller = scene_call(scene, "/once/", "c");
     wait_for_asks(scene, 3);
-    g_assert_cmpfloat(look().given_back, ==, 2);
+    g_assert_cmpfloat(copy_state().given_back, ==, 2);
     close(caller);
     scene_free(scene);
 }
@@ -343,8 +345,8 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/quota/owner_decides", test_owner_decides);
     g_test_add_func("/quota/no_burst", test_no_burst);
-    g_test_add_func("/quota/plenty", test_plenty_is_not_asked_for);
-    g_test_add_func("/quota/stand_in", test_others_stand_in);
+    g_test_add_func("/quota/ample_level", test_ample_level_needs_no_ask);
+    g_test_add_func("/quota/fallback_owner", test_fallback_owner);
     g_test_add_func("/quota/waits_for_links", test_waits_for_links);
     g_test_add_func("/quota/given_back", test_not_run_is_given_back);
     return g_test_run();
--- a/tests/unit/test_quota_bucket.c
+++ b/tests/unit/test_quota_bucket.c
@@ -17,7 +17,7 @@
 {
     return (struct pgw_quota_request){
         .workspace = 7,
-        .terms = {.rate = 1000, .burst = 2000, .version = 3},
+        .limits = {.rate = 1000, .burst = 2000, .version = 3},
         .cost = cost,
         .share = 1,
     };
@@ -29,12 +29,12 @@
     struct pgw_quota_request request = request_of(cost);
     struct pgw_quota_answer answer;
 
-    pgw_quota_buckets_take(&answer, buckets, &request, now_us);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, now_us);
     return answer;
 }
 
-/* A prompt that is larger than the bucket must be granted all the same, and
- * what it took too much must be missing afterwards. */
+/* A prompt that costs more than a full bucket must be granted, and must
+ * overdraw the bucket. */
 static void
 test_long_prompt_overdraws(void)
 {
@@ -51,8 +51,8 @@
     pgw_quota_buckets_free(buckets);
 }
 
-/* An owner that starts must not give out a whole burst: another one may have
- * given it out a moment before. */
+/* An owner that starts must not grant a whole burst: another owner may have
+ * granted it just before. */
 static void
 test_new_owner_starts_low(void)
 {
@@ -71,8 +71,9 @@
     pgw_quota_buckets_free(buckets);
 }
 
-/* After a loss of power of everything callers must not be refused for what no
- * other owner can be granting; what was spent before still counts. */
+/* After a restart of the whole deployment no other owner can be granting, so
+ * callers must not be refused as if one were. Units spent after the restart
+ * still count. */
 static void
 test_restart_of_all(void)
 {
@@ -84,24 +85,24 @@
     options.bounds = (struct pgw_quota_bounds){8, 0.1, 500};
     buckets = pgw_quota_buckets_new(&options);
     request.restarted = true;
-    pgw_quota_buckets_take(&answer, buckets, &request, S);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, S);
     g_assert_cmpfloat(answer.level, ==, 1200);
-    pgw_quota_buckets_take(&answer, buckets, &request, S + S / 2);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, S + S / 2);
     g_assert_cmpfloat(answer.level, ==, 1700);
     pgw_quota_buckets_free(buckets);
 }
 
-/* Entries that have not read the lowered quota yet must not raise it again. */
+/* Entries with an older configuration must not revert a lowered quota. */
 static void
-test_newest_terms_hold(void)
+test_newest_limits_apply(void)
 {
     struct pgw_quota_buckets *buckets = full_buckets();
     struct pgw_quota_request lowered = request_of(0);
     struct pgw_quota_answer answer = ask(buckets, 0, S);
 
     g_assert_cmpfloat(answer.level, ==, 2000);
-    lowered.terms = (struct pgw_quota_terms){100, 200, 4};
-    pgw_quota_buckets_take(&answer, buckets, &lowered, S);
+    lowered.limits = (struct pgw_quota_limits){100, 200, 4};
+    pgw_quota_buckets_handle_request(&answer, buckets, &lowered, S);
     g_assert_cmpfloat(answer.level, ==, 200);
     answer = ask(buckets, 150, 2 * S);
     g_assert_cmpfloat(answer.level, ==, 50);
@@ -110,10 +111,10 @@
     pgw_quota_buckets_free(buckets);
 }
 
-/* A refused caller must not be sent back into the crowd that was refused with
- * it, and what was given back must be there for others. */
+/* Callers that were refused together must not all retry at the same time, and
+ * units given back must be available to others. */
 static void
-test_refused_callers_are_spread(void)
+test_retry_times_are_spread(void)
 {
     struct pgw_quota_buckets *buckets = full_buckets();
     struct pgw_quota_request back = request_of(0);
@@ -124,13 +125,13 @@
     g_assert_cmpuint(ask(buckets, 500, S).retry_ms, ==, 1000);
     g_assert_cmpuint(ask(buckets, 5000, S).retry_ms, ==, 2000);
     back.spent = -2000;
-    pgw_quota_buckets_take(&answer, buckets, &back, S);
+    pgw_quota_buckets_handle_request(&answer, buckets, &back, S);
     g_assert_cmpfloat(answer.level, ==, 2000);
     pgw_quota_buckets_free(buckets);
 }
 
-/* Guards against short requests that are refused for long prompts: a workspace
- * asks for twice its quota, and its short requests alone are within it. */
+/* Guards against refusing short requests because of long prompts: a workspace
+ * requests twice its quota, while its short requests alone are within it. */
 static void
 test_short_requests_pass(void)
 {
@@ -141,14 +142,14 @@
     double units = 0;
     const unsigned seconds = 30;
 
-    request.terms = (struct pgw_quota_terms){47000, 47000, 3};
+    request.limits = (struct pgw_quota_limits){47000, 47000, 3};
     for (unsigned ms = 0; ms < seconds * 1000; ms += 10) {
         for (unsigned is_long = 0; is_long <= (ms % 330 == 0); is_long++) {
             struct pgw_quota_answer answer;
 
             request.cost = is_long ? 17020 : 388;
-            pgw_quota_buckets_take(&answer, buckets, &request,
-                                   S + ms * UINT64_C(1000));
+            pgw_quota_buckets_handle_request(&answer, buckets, &request,
+                                             S + ms * UINT64_C(1000));
             asked[is_long]++;
             granted[is_long] += answer.granted > 0;
             units += answer.granted;
@@ -156,7 +157,7 @@
     }
     g_assert_cmpuint(granted[0] * 100, >=, asked[0] * 99);
     g_assert_cmpuint(granted[1], >, 0);
-    /* The quota is used but for what one long prompt waits for. */
+    /* All of the quota is used except what is saved up for one long prompt. */
     g_assert_cmpfloat(units, >, 47000.0 * seconds - 17020);
     g_assert_cmpfloat(units, <=, 47000.0 * seconds + 47000);
     pgw_quota_buckets_free(buckets);
@@ -170,7 +171,7 @@
     g_test_add_func("/quota_bucket/overdraft", test_long_prompt_overdraws);
     g_test_add_func("/quota_bucket/new_owner", test_new_owner_starts_low);
     g_test_add_func("/quota_bucket/restart_of_all", test_restart_of_all);
-    g_test_add_func("/quota_bucket/newest_terms", test_newest_terms_hold);
-    g_test_add_func("/quota_bucket/refused", test_refused_callers_are_spread);
+    g_test_add_func("/quota_bucket/newest_limits", test_newest_limits_apply);
+    g_test_add_func("/quota_bucket/retry_times", test_retry_times_are_spread);
     return g_test_run();
 }
--- a/tests/unit/test_quota_play.c
+++ b/tests/unit/test_quota_play.c
@@ -4,28 +4,29 @@
 #include <string.h>
 
 /*
- * Entries and the owner of a workspace's quota, played without a network: each
- * request comes to one of the entries, and words between entries and owner
- * take their time. What ran is held against the bounds that the operator sets.
+ * Simulates entries and the owner of a workspace's quota without a network.
+ * Each request arrives at one of the entries, and messages between entries and
+ * owner are delayed. The units that ran are checked against the configured
+ * bounds.
  */
 
 #define MS UINT64_C(1000)
 #define ENTRIES 31
-/* A way and a turn of a busy process, each way. */
-#define WAY_US (5 * MS)
-#define WAIT_US (40 * MS)
-#define REPORT_US (250 * MS)
-#define PLAY_US (40000 * MS)
-/* Drawn schedules, and the length of each. */
+/* One-way delay: the network and an event loop turn of a busy process. */
+#define NETWORK_US (5 * MS)
+#define ANSWER_TIMEOUT_US (40 * MS)
+#define REPORT_INTERVAL_US (250 * MS)
+#define SIMULATED_US (40000 * MS)
+/* Number of random schedules, and the length of each. */
 #define SCHEDULES 150
 #define SCHEDULE_US (24000 * MS)
 
 static const struct pgw_quota_bounds bounds = {8, 0.1, 190000};
 
-/* A word on its way; @cost 0: a report. */
-struct word {
-    uint64_t at_us;
-    uint64_t asked_us;
+/* A message in flight; cost 0: a report. */
+struct message {
+    uint64_t due_us;
+    uint64_t sent_at_us;
     unsigned entry;
     bool is_answer;
     bool lost;
@@ -39,33 +40,42 @@
 };
 
 /**
- * struct play - what happens
- * @terms: the quota
- * @load: tokens a second that are asked for
- * @restart_us: the owner starts again then, 0: never
- * @restart_all: with all entries
- * @cut_from_us: from then on some entries reach nobody,
- * @cut_until_us: until then,
- * @cut: these many
- * @length_us: how long it lasts, 0: %PLAY_US
- * @way_us: a way takes up to so much, 0: always %WAY_US
- * @lost_in: one word in so many is lost, 0: none
- * @suspended: the entry that stands still
- * @suspended_from_us: from then on
- * @suspended_until_us: until then
+ * struct simulation - settings and state of a simulation
+ * @limits: the quota
+ * @load: requested tokens per second
+ * @restart_us: when the owner restarts, 0: never
+ * @restart_all: all entries restart with it
+ * @restarted: all entries have restarted
+ * @cut_off_from_us: start of a time in which some entries reach no owner
+ * @cut_off_until_us: end of that time
+ * @cut_off_entries: number of these entries
+ * @length_us: simulated time, 0: %SIMULATED_US
+ * @max_network_us: maximum one-way delay, 0: always %NETWORK_US
+ * @loss_interval: one message in this many is lost, 0: none
+ * @suspended: the entry that is suspended for a time
+ * @suspended_from_us: start of that time
+ * @suspended_until_us: end of that time
+ * @random: source of random numbers
+ * @owner: buckets at the owner
+ * @shares: state of each entry
+ * @reported_us: when each entry last sent a report
+ * @messages: messages in flight
+ * @runs: requests that ran, as struct run
+ * @requested: requested tokens
+ * @refused: refused tokens
  */
-struct play {
-    struct pgw_quota_terms terms;
+struct simulation {
+    struct pgw_quota_limits limits;
     double load;
     uint64_t restart_us;
     bool restart_all;
     bool restarted;
-    uint64_t cut_from_us;
-    uint64_t cut_until_us;
-    unsigned cut;
+    uint64_t cut_off_from_us;
+    uint64_t cut_off_until_us;
+    unsigned cut_off_entries;
     uint64_t length_us;
-    uint64_t way_us;
-    unsigned lost_in;
+    uint64_t max_network_us;
+    unsigned loss_interval;
     unsigned suspended;
     uint64_t suspended_from_us;
     uint64_t suspended_until_us;
@@ -73,238 +83,257 @@
     struct pgw_quota_buckets *owner;
     struct pgw_quota_share shares[ENTRIES];
     uint64_t reported_us[ENTRIES];
-    GQueue *words;
+    GQueue *messages;
     GArray *runs;
-    double asked;
+    double requested;
     double refused;
 };
 
 static bool
-is_cut(const struct play *play, unsigned entry, uint64_t now_us)
+is_cut_off(const struct simulation *simulation, unsigned entry,
+           uint64_t now_us)
 {
-    return entry < play->cut && now_us >= play->cut_from_us &&
-           now_us < play->cut_until_us;
+    return entry < simulation->cut_off_entries &&
+           now_us >= simulation->cut_off_from_us &&
+           now_us < simulation->cut_off_until_us;
 }
 
 static void
-note_run(struct play *play, double tokens, uint64_t now_us)
+record_run(struct simulation *simulation, double tokens, uint64_t now_us)
 {
     struct run run = {now_us, tokens};
 
-    g_array_append_val(play->runs, run);
+    g_array_append_val(simulation->runs, run);
 }
 
 static uint64_t
-way(struct play *play)
+network_delay(struct simulation *simulation)
 {
-    return play->way_us == 0
-               ? WAY_US
-               : MS * (uint64_t)g_rand_int_range(play->random, 1,
-                                                 (int)(play->way_us / MS) + 1);
+    return simulation->max_network_us == 0
+               ? NETWORK_US
+               : MS * (uint64_t)g_rand_int_range(
+                          simulation->random, 1,
+                          (int)(simulation->max_network_us / MS) + 1);
 }
 
 static void
-send_word(struct play *play, unsigned entry, double cost, uint64_t now_us)
+send_message(struct simulation *simulation, unsigned entry, double cost,
+             uint64_t now_us)
 {
-    struct word *word = g_new0(struct word, 1);
-
-    word->at_us = now_us + way(play);
-    word->asked_us = now_us;
-    word->entry = entry;
-    word->lost = is_cut(play, entry, now_us) ||
-                 (play->lost_in > 0 &&
-                  g_rand_int_range(play->random, 0, (int)play->lost_in) == 0);
-    word->request = (struct pgw_quota_request){
+    struct message *message = g_new0(struct message, 1);
+
+    message->due_us = now_us + network_delay(simulation);
+    message->sent_at_us = now_us;
+    message->entry = entry;
+    message->lost = is_cut_off(simulation, entry, now_us) ||
+                    (simulation->loss_interval > 0 &&
+                     g_rand_int_range(simulation->random, 0,
+                                      (int)simulation->loss_interval) == 0);
+    message->request = (struct pgw_quota_request){
         .workspace = 1,
-        .terms = play->terms,
+        .limits = simulation->limits,
         .cost = cost,
         .share = 1,
-        .restarted = play->restarted,
+        .restarted = simulation->restarted,
     };
-    pgw_quota_share_report(&play->shares[entry], &word->request);
-    g_queue_push_tail(play->words, word);
+    pgw_quota_share_take_unreported(&simulation->shares[entry],
+                                    &message->request);
+    g_queue_push_tail(simulation->messages, message);
 }
 
 static void
-spend(struct play *play, unsigned entry, double tokens, uint64_t now_us)
+spend(struct simulation *simulation, unsigned entry, double tokens,
+      uint64_t now_us)
 {
-    struct pgw_quota_share *share = &play->shares[entry];
+    struct pgw_quota_share *share = &simulation->shares[entry];
 
     pgw_quota_share_spend(share, tokens);
-    if (pgw_quota_share_is_due(share, &play->terms, ENTRIES)) {
-        send_word(play, entry, 0, now_us);
+    if (pgw_quota_share_report_is_due(share, &simulation->limits, ENTRIES)) {
+        send_message(simulation, entry, 0, now_us);
     }
 }
 
 static void
-decide_alone(struct play *play, unsigned entry, double tokens, uint64_t now_us)
+decide_locally(struct simulation *simulation, unsigned entry, double tokens,
+               uint64_t now_us)
 {
-    if (pgw_quota_share_decide_alone(&play->shares[entry], &play->terms,
-                                     &bounds, ENTRIES, tokens,
-                                     now_us) == PGW_QUOTA_ADMIT) {
-        note_run(play, tokens, now_us);
-        spend(play, entry, tokens, now_us);
+    if (pgw_quota_share_decide_locally(&simulation->shares[entry],
+                                       &simulation->limits, &bounds, ENTRIES,
+                                       tokens, now_us) == PGW_QUOTA_ADMIT) {
+        record_run(simulation, tokens, now_us);
+        spend(simulation, entry, tokens, now_us);
         return;
     }
-    play->refused += tokens;
+    simulation->refused += tokens;
 }
 
-/* Returns whether the word is done with; an answer goes back. */
+/* Returns whether the message is finished; a request turns into its answer. */
 static bool
-take_word(struct play *play, struct word *word, uint64_t now_us)
+deliver(struct simulation *simulation, struct message *message,
+        uint64_t now_us)
 {
-    struct pgw_quota_share *share = &play->shares[word->entry];
+    struct pgw_quota_share *share = &simulation->shares[message->entry];
 
-    if (word->lost) {
-        if (now_us - word->asked_us < WAIT_US) {
-            word->at_us = word->asked_us + WAIT_US;
+    if (message->lost) {
+        if (now_us - message->sent_at_us < ANSWER_TIMEOUT_US) {
+            message->due_us = message->sent_at_us + ANSWER_TIMEOUT_US;
             return false;
         }
-        if (word->request.cost > 0) {
-            decide_alone(play, word->entry, word->request.cost, now_us);
+        if (message->request.cost > 0) {
+            decide_locally(simulation, message->entry, message->request.cost,
+                           now_us);
         }
         return true;
     }
-    if (!word->is_answer) {
-        pgw_quota_buckets_take(&word->answer, play->owner, &word->request,
-                               now_us);
-        word->is_answer = true;
-        word->at_us = now_us + way(play);
+    if (!message->is_answer) {
+        pgw_quota_buckets_handle_request(&message->answer, simulation->owner,
+                                         &message->request, now_us);
+        message->is_answer = true;
+        message->due_us = now_us + network_delay(simulation);
         return false;
     }
-    pgw_quota_share_take(share, &word->answer, now_us);
-    if (word->answer.granted > 0) {
-        note_run(play, word->request.cost, now_us);
+    pgw_quota_share_apply_answer(share, &message->answer, now_us);
+    if (message->answer.granted > 0) {
+        record_run(simulation, message->request.cost, now_us);
     }
     else {
-        play->refused += word->request.cost;
+        simulation->refused += message->request.cost;
     }
     return true;
 }
 
 static bool
-is_suspended(const struct play *play, unsigned entry, uint64_t now_us)
+is_suspended(const struct simulation *simulation, unsigned entry,
+             uint64_t now_us)
 {
-    return entry == play->suspended && now_us >= play->suspended_from_us &&
-           now_us < play->suspended_until_us;
+    return entry == simulation->suspended &&
+           now_us >= simulation->suspended_from_us &&
+           now_us < simulation->suspended_until_us;
 }
 
 static void
-take_words(struct play *play, uint64_t now_us)
+deliver_due(struct simulation *simulation, uint64_t now_us)
 {
-    unsigned count = g_queue_get_length(play->words);
+    unsigned count = g_queue_get_length(simulation->messages);
 
     for (unsigned i = 0; i < count; i++) {
-        struct word *word = g_queue_pop_head(play->words);
+        struct message *message = g_queue_pop_head(simulation->messages);
 
-        if (word->at_us > now_us ||
-            (is_suspended(play, word->entry, now_us) && word->is_answer) ||
-            !take_word(play, word, now_us)) {
-            g_queue_push_tail(play->words, word);
+        if (message->due_us > now_us ||
+            (is_suspended(simulation, message->entry, now_us) &&
+             message->is_answer) ||
+            !deliver(simulation, message, now_us)) {
+            g_queue_push_tail(simulation->messages, message);
         }
         else {
-            g_free(word);
+            g_free(message);
         }
     }
 }
 
 static void
-request_comes(struct play *play, unsigned entry, double tokens,
-              uint64_t now_us)
+handle_request(struct simulation *simulation, unsigned entry, double tokens,
+               uint64_t now_us)
 {
-    struct pgw_quota_share *share = &play->shares[entry];
+    struct pgw_quota_share *share = &simulation->shares[entry];
 
-    if (is_suspended(play, entry, now_us)) {
+    if (is_suspended(simulation, entry, now_us)) {
         return;
     }
-    play->asked += tokens;
-    switch (
-        pgw_quota_share_decide(share, &play->terms, ENTRIES, tokens, now_us)) {
+    simulation->requested += tokens;
+    switch (pgw_quota_share_decide(share, &simulation->limits, ENTRIES, tokens,
+                                   now_us)) {
     case PGW_QUOTA_ADMIT:
-        note_run(play, tokens, now_us);
-        spend(play, entry, tokens, now_us);
+        record_run(simulation, tokens, now_us);
+        spend(simulation, entry, tokens, now_us);
         break;
     case PGW_QUOTA_ASK:
-        send_word(play, entry, tokens, now_us);
+        send_message(simulation, entry, tokens, now_us);
         break;
     case PGW_QUOTA_REFUSE:
-        play->refused += tokens;
+        simulation->refused += tokens;
         share->refused += tokens;
         break;
     }
 }
 
 static void
-begin_owner(struct play *play, bool first)
+start_owner(struct simulation *simulation, bool first)
 {
     struct pgw_quota_buckets_options options = PGW_QUOTA_BUCKETS_OPTIONS_INIT;
 
     options.bounds = bounds;
     options.full_until_us = first ? 20000 * MS : 0;
-    pgw_quota_buckets_free(play->owner);
-    play->owner = pgw_quota_buckets_new(&options);
+    pgw_quota_buckets_free(simulation->owner);
+    simulation->owner = pgw_quota_buckets_new(&options);
 }
 
-/* Long prompts have half of the tokens, short ones the other half. */
+/* Half of the tokens are requested in long prompts, half in short ones. */
 static void
-run_play(struct play *play)
+run_simulation(struct simulation *simulation)
 {
-    uint64_t end = play->length_us == 0 ? PLAY_US : play->length_us;
-    double due[2] = {0, 0};
+    uint64_t end =
+        simulation->length_us == 0 ? SIMULATED_US : simulation->length_us;
+    double pending[2] = {0, 0};
     const double sizes[2] = {17000, 390};
 
-    if (play->random == NULL) {
-        play->random = g_rand_new_with_seed(42);
+    if (simulation->random == NULL) {
+        simulation->random = g_rand_new_with_seed(42);
     }
-    play->words = g_queue_new();
-    play->runs = g_array_new(FALSE, FALSE, sizeof(struct run));
-    begin_owner(play, true);
+    simulation->messages = g_queue_new();
+    simulation->runs = g_array_new(FALSE, FALSE, sizeof(struct run));
+    start_owner(simulation, true);
     for (uint64_t now = MS; now < end; now += MS) {
-        if (play->restart_us > 0 && now == play->restart_us) {
-            begin_owner(play, false);
-            play->restarted = play->restart_all;
-            if (play->restart_all) {
-                memset(play->shares, 0, sizeof(play->shares));
+        if (simulation->restart_us > 0 && now == simulation->restart_us) {
+            start_owner(simulation, false);
+            simulation->restarted = simulation->restart_all;
+            if (simulation->restart_all) {
+                memset(simulation->shares, 0, sizeof(simulation->shares));
             }
         }
-        take_words(play, now);
+        deliver_due(simulation, now);
         for (size_t kind = 0; kind < 2; kind++) {
-            for (due[kind] += play->load / 2 / 1000; due[kind] > 0;) {
+            for (pending[kind] += simulation->load / 2 / 1000;
+                 pending[kind] > 0;) {
                 double tokens =
-                    sizes[kind] * g_rand_double_range(play->random, 0.2, 1.8);
+                    sizes[kind] *
+                    g_rand_double_range(simulation->random, 0.2, 1.8);
 
-                due[kind] -= tokens;
-                request_comes(
-                    play, (unsigned)g_rand_int_range(play->random, 0, ENTRIES),
+                pending[kind] -= tokens;
+                handle_request(
+                    simulation,
+                    (unsigned)g_rand_int_range(simulation->random, 0, ENTRIES),
                     tokens, now);
             }
         }
         for (unsigned i = 0; i < ENTRIES; i++) {
-            if (now - play->reported_us[i] >= REPORT_US &&
-                play->shares[i].unreported > 0) {
-                play->reported_us[i] = now;
-                send_word(play, i, 0, now);
+            if (now - simulation->reported_us[i] >= REPORT_INTERVAL_US &&
+                simulation->shares[i].unreported > 0) {
+                simulation->reported_us[i] = now;
+                send_message(simulation, i, 0, now);
             }
         }
     }
 }
 
-/* Most tokens that ran in any window of the bound's length. */
+/* Maximum number of tokens that ran in any window of the bound's length. */
 static double
-most_in_window(const struct play *play)
+most_in_window(const struct simulation *simulation)
 {
     uint64_t window = (uint64_t)(bounds.window_s * 1000) * MS;
     double sum = 0;
     double most = 0;
     unsigned first = 0;
 
-    for (unsigned i = 0; i < play->runs->len; i++) {
-        const struct run *run = &g_array_index(play->runs, struct run, i);
+    for (unsigned i = 0; i < simulation->runs->len; i++) {
+        const struct run *run =
+            &g_array_index(simulation->runs, struct run, i);
 
         sum += run->tokens;
-        while (g_array_index(play->runs, struct run, first).at_us + window <
+        while (g_array_index(simulation->runs, struct run, first).at_us +
+                   window <
                run->at_us) {
-            sum -= g_array_index(play->runs, struct run, first++).tokens;
+            sum -= g_array_index(simulation->runs, struct run, first++).tokens;
         }
         most = MAX(most, sum);
     }
@@ -312,55 +341,56 @@
 }
 
 static double
-allowed(const struct play *play)
+allowed(const struct simulation *simulation)
 {
-    return (play->terms.rate * bounds.window_s + play->terms.burst) *
+    return (simulation->limits.rate * bounds.window_s +
+            simulation->limits.burst) *
                (1 + bounds.overage) +
            bounds.slack;
 }
 
 static double
-tokens_run(const struct play *play)
+tokens_run(const struct simulation *simulation)
 {
     double sum = 0;
 
-    for (unsigned i = 0; i < play->runs->len; i++) {
-        sum += g_array_index(play->runs, struct run, i).tokens;
+    for (unsigned i = 0; i < simulation->runs->len; i++) {
+        sum += g_array_index(simulation->runs, struct run, i).tokens;
     }
     return sum;
 }
 
 static void
-end_play(struct play *play)
+free_simulation(struct simulation *simulation)
 {
-    g_rand_free(play->random);
-    g_queue_free_full(play->words, g_free);
-    g_array_unref(play->runs);
-    pgw_quota_buckets_free(play->owner);
+    g_rand_free(simulation->random);
+    g_queue_free_full(simulation->messages, g_free);
+    g_array_unref(simulation->runs);
+    pgw_quota_buckets_free(simulation->owner);
 }
 
 static void
-check_bound(struct play *play)
+run_and_check_bound(struct simulation *simulation)
 {
-    run_play(play);
-    g_assert_cmpfloat(most_in_window(play), <=, allowed(play));
+    run_simulation(simulation);
+    g_assert_cmpfloat(most_in_window(simulation), <=, allowed(simulation));
 }
 
-/* A workspace that asks for four times its quota gets all of the quota, and no
- * more than the bounds allow, whether it is the largest or the smallest. */
+/* A workspace that requests four times its quota gets all of the quota and no
+ * more than the bounds allow, for a large and a small quota. */
 static void
 test_hot_workspace(void)
 {
     const double rates[] = {604586, 47000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
-                            .load = rates[i] * 4.2};
+        struct simulation simulation = {.limits = {rates[i], rates[i], 1},
+                                        .load = rates[i] * 4.2};
 
-        check_bound(&play);
-        g_assert_cmpfloat(tokens_run(&play), >=,
-                          0.95 * rates[i] * PLAY_US / 1e6);
-        end_play(&play);
+        run_and_check_bound(&simulation);
+        g_assert_cmpfloat(tokens_run(&simulation), >=,
+                          0.95 * rates[i] * SIMULATED_US / 1e6);
+        free_simulation(&simulation);
     }
 }
 
@@ -371,17 +401,17 @@
     const double rates[] = {604586, 300000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
-                            .load = rates[i] * 0.55};
+        struct simulation simulation = {.limits = {rates[i], rates[i], 1},
+                                        .load = rates[i] * 0.55};
 
-        check_bound(&play);
-        g_assert_cmpfloat(play.refused, ==, 0);
-        end_play(&play);
+        run_and_check_bound(&simulation);
+        g_assert_cmpfloat(simulation.refused, ==, 0);
+        free_simulation(&simulation);
     }
 }
 
-/* The owner starts again in the middle of the crowd, alone or with all
- * entries: what it gave out before must not be given out a second time. */
+/* The owner restarts under load, alone or with all entries: units that it
+ * granted before must not be granted a second time. */
 static void
 test_owner_restarts(void)
 {
@@ -389,13 +419,13 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
         for (unsigned all = 0; all < 2; all++) {
-            struct play play = {.terms = {rates[i], rates[i], 1},
-                                .load = rates[i] * 4.2,
-                                .restart_us = 6000 * MS,
-                                .restart_all = all == 1};
+            struct simulation simulation = {.limits = {rates[i], rates[i], 1},
+                                            .load = rates[i] * 4.2,
+                                            .restart_us = 6000 * MS,
+                                            .restart_all = all == 1};
 
-            check_bound(&play);
-            end_play(&play);
+            run_and_check_bound(&simulation);
+            free_simulation(&simulation);
         }
     }
 }
@@ -408,14 +438,14 @@
     const double rates[] = {604586, 47000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
-                            .load = rates[i] * 4.2,
-                            .cut_from_us = 5000 * MS,
-                            .cut_until_us = 17000 * MS,
-                            .cut = 11};
-
-        check_bound(&play);
-        end_play(&play);
+        struct simulation simulation = {.limits = {rates[i], rates[i], 1},
+                                        .load = rates[i] * 4.2,
+                                        .cut_off_from_us = 5000 * MS,
+                                        .cut_off_until_us = 17000 * MS,
+                                        .cut_off_entries = 11};
+
+        run_and_check_bound(&simulation);
+        free_simulation(&simulation);
     }
 }
 
@@ -426,9 +456,9 @@
                                            (int)most_s * 1000);
 }
 
-/* Schedules drawn from a seed: loads around and above the quota, slow and lost
- * words, an owner that starts again, entries that are cut off and one that is
- * suspended with its answers. None may break the bound. */
+/* Schedules from random seeds: loads around and above the quota, slow and lost
+ * messages, an owner that restarts, entries that are cut off, and an entry
+ * that is suspended and gets its answers late. None may exceed the bound. */
 static void
 test_drawn_schedules(void)
 {
@@ -436,30 +466,31 @@
         GRand *random = g_rand_new_with_seed(seed);
         double rate =
             exp(g_rand_double_range(random, log(47000), log(604586)));
-        struct play play = {
-            .terms = {rate, rate, 1},
+        struct simulation simulation = {
+            .limits = {rate, rate, 1},
             .load = rate * g_rand_double_range(random, 0.5, 7),
             .restart_us = g_rand_boolean(random) ? draw_us(random, 2, 20) : 0,
             .restart_all = g_rand_boolean(random),
-            .cut_from_us = draw_us(random, 1, 10),
-            .cut = (unsigned)g_rand_int_range(random, 0, 12),
+            .cut_off_from_us = draw_us(random, 1, 10),
+            .cut_off_entries = (unsigned)g_rand_int_range(random, 0, 12),
             .length_us = SCHEDULE_US,
-            .way_us = draw_us(random, 0, 1) / 30 + MS,
-            .lost_in = (unsigned)g_rand_int_range(random, 20, 200),
+            .max_network_us = draw_us(random, 0, 1) / 30 + MS,
+            .loss_interval = (unsigned)g_rand_int_range(random, 20, 200),
             .suspended = (unsigned)g_rand_int_range(random, 0, ENTRIES),
             .suspended_from_us = draw_us(random, 1, 15),
             .random = random,
         };
 
-        play.cut_until_us = play.cut_from_us + draw_us(random, 1, 12);
-        play.suspended_until_us =
-            play.suspended_from_us + draw_us(random, 1, 5);
-        run_play(&play);
-        if (most_in_window(&play) > allowed(&play)) {
+        simulation.cut_off_until_us =
+            simulation.cut_off_from_us + draw_us(random, 1, 12);
+        simulation.suspended_until_us =
+            simulation.suspended_from_us + draw_us(random, 1, 5);
+        run_simulation(&simulation);
+        if (most_in_window(&simulation) > allowed(&simulation)) {
             g_error("seed %u: %.0f units ran in a window, %.0f are allowed",
-                    seed, most_in_window(&play), allowed(&play));
+                    seed, most_in_window(&simulation), allowed(&simulation));
         }
-        end_play(&play);
+        free_simulation(&simulation);
     }
 }
 
