--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -97,11 +97,11 @@
     append(out, upstream, rank);
 }
 
-/* Finds the positions in @from of the @most highest ranked; returns their
+/* Finds the positions in @from of the @max_count highest ranked; returns their
  * number. */
 static size_t
-rank(uint32_t *out, size_t most, const GPtrArray *from,
-     const struct pgw_level_chain *chain, uint64_t now_us)
+rank_upstreams(uint32_t *out, size_t max_count, const GPtrArray *from,
+               const struct pgw_level_chain *chain, uint64_t now_us)
 {
     size_t count = MIN(from->len, RANKED_MAX);
     struct pgw_place_node *nodes = g_new0(struct pgw_place_node, count);
@@ -115,7 +115,7 @@
             .usable = pgw_upstream_is_usable(upstream, now_us),
         };
     }
-    ranked = pgw_place_rank(out, most, nodes, count, chain);
+    ranked = pgw_place_rank(out, max_count, nodes, count, chain);
     g_free(nodes);
     return ranked;
 }
@@ -126,7 +126,8 @@
            const struct pgw_level_chain *chain, uint64_t now_us)
 {
     uint32_t order[PGW_PLACE_RANK_MAX];
-    size_t ranked = rank(order, PGW_PLACE_RANK_MAX, from, chain, now_us);
+    size_t ranked =
+        rank_upstreams(order, PGW_PLACE_RANK_MAX, from, chain, now_us);
     uint32_t next = (uint32_t)out->home_count;
 
     for (size_t i = 0; i < ranked && next < PGW_PLACE_RANK_MAX; i++) {
@@ -157,8 +158,8 @@
     if (is_evaluated_whole(pool) || count == 0) {
         return;
     }
-    out->count =
-        rank(order, MIN(count, PGW_HOMES_MAX), pool->all, chain, now_us);
+    out->count = rank_upstreams(order, MIN(count, PGW_HOMES_MAX), pool->all,
+                                chain, now_us);
     for (size_t i = 0; i < out->count; i++) {
         out->items[i] = g_ptr_array_index(pool->all, order[i]);
     }
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -134,8 +134,8 @@
     };
     struct pgw_source source;
 
-    options.rest_from_store = pgw_policy_is_on(&gateway->options.policy,
-                                               PGW_MECHANISM_STORE_REMAINDER);
+    options.requires_full_holder = pgw_policy_is_on(
+        &gateway->options.policy, PGW_MECHANISM_STORE_REMAINDER);
     source = pgw_source_decide(&input, &options);
     if (source.from == PGW_SOURCE_ENGINE && choice->holder != NULL) {
         exchange->fetched = "engine";
--- a/src/gateway/home_probe.c
+++ b/src/gateway/home_probe.c
@@ -1,20 +1,20 @@
 #include "gateway/exchange.h"
 #include "util/metric.h"
 
-/* Answers are asked for again after this time, as engines report so often. */
-#define ANSWER_FRESH_US 100000
+/* Answers are reused for this long, the interval of engines' reports. */
+#define ANSWER_VALID_US 100000
 
 static struct pgw_metric_counter probes = {
     .name = "pgw_gateway_probes_total",
-    .help = "Sidecars asked before a prompt was sent",
+    .help = "Probes sent to sidecars before a prompt was dispatched",
 };
 static struct pgw_metric_counter unanswered = {
     .name = "pgw_gateway_probes_unanswered_total",
-    .help = "Of these, answers that were not waited for any longer",
+    .help = "Of these, probes without an answer in time",
 };
 
 static void
-end_wait(struct pgw_exchange *exchange)
+stop_waiting(struct pgw_exchange *exchange)
 {
     if (exchange->probe != 0) {
         exchange->probing_us += pgw_now_us() - exchange->probed_at_us;
@@ -26,16 +26,17 @@
 void
 pgw_home_probe_drop(struct pgw_exchange *exchange)
 {
-    end_wait(exchange);
+    stop_waiting(exchange);
     for (size_t i = 0; i < exchange->homes.count; i++) {
         pgw_upstream_unref(exchange->homes.items[i]);
     }
     exchange->homes.count = 0;
 }
 
-/* An engine of which nothing fresh is known looks idle, whatever it does. */
+/* A home without a fresh report looks idle whatever its load, so it is not
+ * considered. */
 static void
-drop_unknown(struct pgw_exchange *exchange)
+remove_unanswered(struct pgw_exchange *exchange)
 {
     struct pgw_homes *homes = &exchange->homes;
     size_t kept = 0;
@@ -52,18 +53,19 @@
 }
 
 static void
-go_on(struct pgw_exchange *exchange)
+resume_dispatch(struct pgw_exchange *exchange)
 {
-    end_wait(exchange);
-    /* Fresh from now on: it must not ask again before it is placed. */
+    stop_waiting(exchange);
+    /* Answers are fresh from now on, so that no further probe is sent before
+     * the request is dispatched. */
     exchange->probed_at_us = pgw_now_us();
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
-    drop_unknown(exchange);
+    remove_unanswered(exchange);
     pgw_exchange_place(exchange);
 }
 
 static void
-wait_due(struct pgw_timer *timer)
+on_probe_timeout(struct pgw_timer *timer)
 {
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
@@ -71,7 +73,7 @@
     for (size_t i = 0; i < exchange->homes.count; i++) {
         pgw_metric_counter_add(&unanswered, !exchange->answered[i]);
     }
-    go_on(exchange);
+    resume_dispatch(exchange);
 }
 
 void
@@ -80,23 +82,23 @@
 {
     struct pgw_exchange *exchange =
         g_hash_table_lookup(gateway->probes, &probe);
-    bool whole = true;
+    bool all_answered = true;
 
     if (exchange == NULL) {
         return;
     }
     for (size_t i = 0; i < exchange->homes.count; i++) {
         exchange->answered[i] |= exchange->homes.items[i] == upstream;
-        whole = whole && exchange->answered[i];
+        all_answered = all_answered && exchange->answered[i];
     }
-    if (whole) {
-        go_on(exchange);
+    if (all_answered) {
+        resume_dispatch(exchange);
     }
 }
 
 static bool
-ask_sidecar(const struct pgw_exchange *exchange,
-            const struct pgw_upstream *upstream)
+probe_sidecar(const struct pgw_exchange *exchange,
+              const struct pgw_upstream *upstream)
 {
     const struct pgw_gateway *gateway = exchange->gateway;
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
@@ -114,30 +116,30 @@
                                     prompt->part_count - 1);
 }
 
-/* Returns whether answers are on their way. */
+/* Sends probes to all homes; returns whether any answer is to be expected. */
 static bool
-ask_all(struct pgw_exchange *exchange)
+probe_homes(struct pgw_exchange *exchange)
 {
     const struct pgw_homes *homes = &exchange->homes;
-    bool any = false;
+    bool any_probed = false;
 
     for (size_t i = 0; i < homes->count; i++) {
-        bool asked = false;
+        bool probed = false;
 
         if (!homes->items[i]->same_zone) {
-            asked = ask_sidecar(exchange, homes->items[i]);
-            pgw_metric_counter_add(&probes, asked);
+            probed = probe_sidecar(exchange, homes->items[i]);
+            pgw_metric_counter_add(&probes, probed);
         }
-        /* Sidecars of the own zone send reports unasked. */
+        /* Sidecars of the local zone send reports without a probe. */
         exchange->answered[i] = homes->items[i]->same_zone;
-        any |= asked;
+        any_probed |= probed;
     }
-    return any;
+    return any_probed;
 }
 
-/* Short parts are read again faster than a sidecar answers. */
+/* Prefilling short parts again takes less time than a probe. */
 static bool
-is_worth_asking(const struct pgw_exchange *exchange)
+is_worth_probing(const struct pgw_exchange *exchange)
 {
     const struct pgw_gateway *gateway = exchange->gateway;
 
@@ -148,7 +150,7 @@
                             PGW_MECHANISM_HOME_PROBES) &&
            !pgw_list_is_linked(&exchange->waiting.link) &&
            (exchange->probed_at_us == 0 ||
-            pgw_now_us() - exchange->probed_at_us >= ANSWER_FRESH_US);
+            pgw_now_us() - exchange->probed_at_us >= ANSWER_VALID_US);
 }
 
 static void
@@ -175,7 +177,7 @@
 {
     struct pgw_gateway *gateway = exchange->gateway;
 
-    if (!is_worth_asking(exchange)) {
+    if (!is_worth_probing(exchange)) {
         return false;
     }
     pgw_metric_register_counter(&probes);
@@ -187,15 +189,15 @@
     exchange->probed_at_us = pgw_now_us();
     exchange->probe = ++gateway->last_probe;
     g_hash_table_insert(gateway->probes, &exchange->probe, exchange);
-    if (!ask_all(exchange)) {
-        end_wait(exchange);
-        drop_unknown(exchange);
+    if (!probe_homes(exchange)) {
+        stop_waiting(exchange);
+        remove_unanswered(exchange);
         return false;
     }
     if (exchange->phase != PGW_PHASE_RELAYING) {
         exchange->phase = PGW_PHASE_WAITING;
     }
-    exchange->attempt_timer.on_due = wait_due;
+    exchange->attempt_timer.on_due = on_probe_timeout;
     pgw_timer_start(gateway->loop, &exchange->attempt_timer,
                     gateway->options.probe_wait_us);
     return true;
--- a/src/gateway/moving_average.c
+++ b/src/gateway/moving_average.c
@@ -2,32 +2,32 @@
 
 #include <glib.h>
 
-/* Weight of a sample: about the last 16 count. The first ones weigh more, so
- * that a prior that is far off is left soon. */
-#define WEIGHT_LEAST (1.0 / 16.0)
-/* A sample counts as at most so many times what is believed, and as no less
- * than that part of it: one request that stood still for seconds must not
- * change what is expected of the next ones. */
-#define OUTLIER_TIMES 4.0
+/* Minimum weight of a sample, which averages about the last 16. The first
+ * samples weigh more, so that a wrong prior is soon replaced. */
+#define MIN_WEIGHT (1.0 / 16.0)
+/* Samples are clamped to the current value times or divided by this factor: a
+ * single request that hung for seconds must not change the estimate for the
+ * next ones. */
+#define OUTLIER_FACTOR 4.0
 
 void
-pgw_moving_average_init(struct pgw_moving_average *estimate, double prior)
+pgw_moving_average_init(struct pgw_moving_average *average, double prior)
 {
-    *estimate = (struct pgw_moving_average){.value = prior};
+    *average = (struct pgw_moving_average){.value = prior};
 }
 
 void
-pgw_moving_average_add(struct pgw_moving_average *estimate, double sample,
+pgw_moving_average_add(struct pgw_moving_average *average, double sample,
                        uint64_t now_us)
 {
-    double weight = 1.0 / (double)(estimate->samples + 2);
+    double weight = 1.0 / (double)(average->samples + 2);
 
     if (!(sample > 0)) {
         return;
     }
-    sample = CLAMP(sample, estimate->value / OUTLIER_TIMES,
-                   estimate->value * OUTLIER_TIMES);
-    estimate->value += MAX(weight, WEIGHT_LEAST) * (sample - estimate->value);
-    estimate->samples++;
-    estimate->at_us = now_us;
+    sample = CLAMP(sample, average->value / OUTLIER_FACTOR,
+                   average->value * OUTLIER_FACTOR);
+    average->value += MAX(weight, MIN_WEIGHT) * (sample - average->value);
+    average->samples++;
+    average->at_us = now_us;
 }
--- a/src/gateway/moving_average.h
+++ b/src/gateway/moving_average.h
@@ -4,18 +4,19 @@
 #include <stdint.h>
 
 /**
- * DOC: Quantities that are learnt from what is observed
+ * DOC: Moving averages of observed quantities
  *
- * A moving mean that begins with a stated prior. One odd sample moves it
- * little; a lasting change is followed within some ten samples. Silence
- * changes nothing: the last regime is the best guess for the next one.
+ * An average starts from a prior. A single outlier has little effect, and a
+ * lasting change is followed within about ten samples. Without samples the
+ * value does not change, because the last one is the best estimate of the
+ * next.
  */
 
 /**
- * struct pgw_moving_average - one quantity
- * @value: what is believed
- * @samples: how many it rests on
- * @at_us: when the last one came, 0: none has
+ * struct pgw_moving_average - average of one quantity
+ * @value: current estimate
+ * @samples: number of samples
+ * @at_us: time of the last sample, 0: none
  */
 struct pgw_moving_average {
     double value;
@@ -23,13 +24,12 @@
     uint64_t at_us;
 };
 
-/** pgw_moving_average_init() - nothing is known but a prior above 0 */
-void pgw_moving_average_init(struct pgw_moving_average *estimate,
-                             double prior);
+/** pgw_moving_average_init() - start from a prior, which must be above 0 */
+void pgw_moving_average_init(struct pgw_moving_average *average, double prior);
 
-/** pgw_moving_average_add() - it was observed; what is not above 0 says
- * nothing */
-void pgw_moving_average_add(struct pgw_moving_average *estimate, double sample,
+/** pgw_moving_average_add() - add a sample; samples that are not above 0 are
+ * ignored */
+void pgw_moving_average_add(struct pgw_moving_average *average, double sample,
                             uint64_t now_us);
 
 #endif
--- a/src/gateway/policy.c
+++ b/src/gateway/policy.c
@@ -73,7 +73,7 @@
 {
     struct file file = {0};
     JsonNode *root = NULL;
-    bool good = true;
+    bool valid = true;
 
     *out = (struct pgw_policy){0};
     if (!pgw_json_load(&root, path, error)) {
@@ -84,12 +84,12 @@
         json_node_unref(root);
         return false;
     }
-    for (size_t i = 0; good && file.off != NULL && file.off[i] != NULL; i++) {
-        good = switch_off(out, file.off[i], path, error);
+    for (size_t i = 0; valid && file.off != NULL && file.off[i] != NULL; i++) {
+        valid = switch_off(out, file.off[i], path, error);
     }
     pgw_json_dispose(&file, fields, G_N_ELEMENTS(fields));
     json_node_unref(root);
-    return good;
+    return valid;
 }
 
 void
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -162,6 +162,8 @@
                          pgw_upstream_table_all(quota->gateway->upstreams));
 }
 
+/* Finds or adds the workspace of a request and updates its limits; NULL: it
+ * has no quota. */
 static struct workspace_quota *
 update_workspace(struct pgw_quota *quota, const struct pgw_exchange *exchange)
 {
--- a/src/gateway/retry_budgets.c
+++ b/src/gateway/retry_budgets.c
@@ -25,7 +25,7 @@
 }
 
 static uint32_t
-own_slack(const struct pgw_retry_budgets *budgets)
+slack_per_entry(const struct pgw_retry_budgets *budgets)
 {
     return MAX(budgets->options.slack / MAX(budgets->options.entries, 1), 1);
 }
@@ -43,12 +43,12 @@
     budgets->options.entries = entries;
     g_hash_table_iter_init(&iter, budgets->by_service);
     while (g_hash_table_iter_next(&iter, NULL, &budget)) {
-        pgw_retry_budget_set_burst(budget, own_slack(budgets));
+        pgw_retry_budget_set_burst(budget, slack_per_entry(budgets));
     }
 }
 
 static struct pgw_retry_budget *
-get(struct pgw_retry_budgets *budgets, const char *service)
+get_or_add(struct pgw_retry_budgets *budgets, const char *service)
 {
     struct pgw_retry_budget *budget =
         g_hash_table_lookup(budgets->by_service, service);
@@ -56,7 +56,7 @@
     if (budget == NULL) {
         struct pgw_retry_options options = {
             .share_permille = budgets->options.share_permille,
-            .burst = own_slack(budgets),
+            .burst = slack_per_entry(budgets),
         };
 
         budget = pgw_retry_budget_new(&options);
@@ -69,12 +69,12 @@
 pgw_retry_budgets_deposit(struct pgw_retry_budgets *budgets,
                           const char *service)
 {
-    pgw_retry_budget_deposit(get(budgets, service));
+    pgw_retry_budget_deposit(get_or_add(budgets, service));
 }
 
 bool
 pgw_retry_budgets_withdraw(struct pgw_retry_budgets *budgets,
                            const char *service)
 {
-    return pgw_retry_budget_withdraw(get(budgets, service));
+    return pgw_retry_budget_withdraw(get_or_add(budgets, service));
 }
--- a/src/gateway/retry_budgets.h
+++ b/src/gateway/retry_budgets.h
@@ -5,20 +5,20 @@
 #include <stdint.h>
 
 /**
- * DOC: Repeats that an entry may make, service by service
+ * DOC: Retry budgets of an entry, by service
  *
- * The deployment bounds the repeats of each service over all entries. An entry
- * takes its part: a share of its own requests to the service, and the slack
+ * The deployment limits the retries of each service over all entries. An
+ * entry's budget is a share of its own requests to the service, plus the slack
  * divided by the number of entries.
  */
 
 struct pgw_retry_budgets;
 
 /**
- * struct pgw_retry_budgets_options - bounds over all entries
- * @share_permille: repeats for 1000 requests of a service
- * @slack: repeats of a service beyond that, in the bound's window
- * @entries: entries that divide @slack until more is known
+ * struct pgw_retry_budgets_options - limits over all entries
+ * @share_permille: retries per 1000 requests of a service
+ * @slack: additional retries of a service, within the window of the limit
+ * @entries: number of entries that share @slack, until it is known
  */
 struct pgw_retry_budgets_options {
     uint32_t share_permille;
@@ -35,7 +35,7 @@
 pgw_retry_budgets_new(const struct pgw_retry_budgets_options *options);
 void pgw_retry_budgets_free(struct pgw_retry_budgets *budgets);
 
-/** pgw_retry_budgets_set_entries() - how many entries there are */
+/** pgw_retry_budgets_set_entries() - set the number of entries */
 void pgw_retry_budgets_set_entries(struct pgw_retry_budgets *budgets,
                                    uint32_t entries);
 
@@ -43,7 +43,8 @@
 void pgw_retry_budgets_deposit(struct pgw_retry_budgets *budgets,
                                const char *service);
 
-/** pgw_retry_budgets_withdraw() - ask for a repeat; false: used up */
+/** pgw_retry_budgets_withdraw() - take one retry; false: the budget is used up
+ */
 bool pgw_retry_budgets_withdraw(struct pgw_retry_budgets *budgets,
                                 const char *service);
 
--- a/src/gateway/source.c
+++ b/src/gateway/source.c
@@ -1,32 +1,34 @@
 #include "gateway/source.h"
 
 /*
- * A gain: an engine that holds the first of several parts, which many prompts
- * share, is no source for the rest: what it lacks would be read again.
+ * An optimization: an engine that holds only the first part, shared by many
+ * prompts, is a worse source than the store, because the other parts would
+ * have to be prefilled.
  */
 static bool
-is_good_holder(const struct pgw_source_input *input,
-               const struct pgw_source_options *options)
+holder_is_suitable(const struct pgw_source_input *input,
+                   const struct pgw_source_options *options)
 {
     return input->has_holder &&
-           (!input->has_store || !options->rest_from_store ||
-            input->holder_missing < options->fetch_min);
+           (!input->has_store || !options->requires_full_holder ||
+            input->holder_missing < options->fetch_min_tokens);
 }
 
 struct pgw_source
 pgw_source_decide(const struct pgw_source_input *input,
                   const struct pgw_source_options *options)
 {
-    bool lacks = input->missing >= options->fetch_min;
+    bool needs_fetch = input->missing >= options->fetch_min_tokens;
 
-    if (!lacks && input->shared < options->always_from) {
-        return (struct pgw_source){.from = PGW_SOURCE_READ};
+    if (!needs_fetch && input->shared < options->always_fetch_tokens) {
+        return (struct pgw_source){.from = PGW_SOURCE_PREFILL};
     }
-    if (is_good_holder(input, options)) {
+    if (holder_is_suitable(input, options)) {
         return (struct pgw_source){.from = PGW_SOURCE_ENGINE};
     }
     if (input->has_store) {
-        return (struct pgw_source){.from = PGW_SOURCE_STORE, .save = lacks};
+        return (struct pgw_source){.from = PGW_SOURCE_STORE,
+                                   .save = needs_fetch};
     }
-    return (struct pgw_source){.from = PGW_SOURCE_READ};
+    return (struct pgw_source){.from = PGW_SOURCE_PREFILL};
 }
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -7,20 +7,20 @@
 /**
  * DOC: Where an engine gets the shared parts that it lacks
  *
- * A pure decision: from another engine, from the store of kept memory, or by
- * reading them; and whether the store keeps what is read. A request has one
- * source. The store is taken to have what was saved there: asking it in vain
- * costs a millisecond, and what it says of itself is two seconds old where its
- * link is busy.
+ * A pure function: the engine fetches the parts from another engine or from
+ * the KV store, or prefills them; it also decides whether the store saves what
+ * is prefilled. A request has one source. The store is assumed to have all
+ * that was saved there: a fetch that finds nothing costs a millisecond, and
+ * the store's own report is up to two seconds old while its link is busy.
  */
 
 /**
- * struct pgw_source_input - one request and its engine
- * @shared: all shared tokens of the prompt
- * @missing: those that the engine lacks
- * @has_holder: another engine holds some
- * @holder_missing: those that it lacks
- * @has_store: there is a store
+ * struct pgw_source_input - a request and its engine
+ * @shared: shared tokens of the prompt
+ * @missing: shared tokens that the engine lacks
+ * @has_holder: another engine holds some of them
+ * @holder_missing: shared tokens that the holder lacks
+ * @has_store: a KV store is available
  */
 struct pgw_source_input {
     uint32_t shared;
@@ -31,48 +31,50 @@
 };
 
 /**
- * struct pgw_source_options - thresholds
- * @fetch_min: less is read again rather than fetched, in tokens; a fetch takes
- *   about two milliseconds
- * @always_from: prompts that share so many tokens are fetched also where the
- *   engine should have all: an eviction that was not heard of costs reading
- *   them again, a needless fetch a millisecond
- * @rest_from_store: a holder that lacks some of the parts is no source
+ * struct pgw_source_options - limits of the decision
+ * @fetch_min_tokens: fewer missing tokens are prefilled rather than fetched; a
+ *   fetch takes about 2 ms
+ * @always_fetch_tokens: prompts with at least this many shared tokens are
+ *   fetched even if the engine should have them all: an eviction that was not
+ *   reported costs a full prefill, an unnecessary fetch a millisecond
+ * @requires_full_holder: if there is a store, an engine that lacks some of the
+ *   parts is not used as source
  */
 struct pgw_source_options {
-    uint32_t fetch_min;
-    uint32_t always_from;
-    bool rest_from_store;
+    uint32_t fetch_min_tokens;
+    uint32_t always_fetch_tokens;
+    bool requires_full_holder;
 };
 
 #define PGW_SOURCE_OPTIONS_INIT                                               \
     {                                                                         \
-        .fetch_min = 32, .always_from = 1024, .rest_from_store = true         \
+        .fetch_min_tokens = 32, .always_fetch_tokens = 1024,                  \
+        .requires_full_holder = true                                          \
     }
 
 /**
- * enum pgw_source_from - where parts come from
- * @PGW_SOURCE_READ: the engine reads what it lacks
- * @PGW_SOURCE_ENGINE: from the holder
- * @PGW_SOURCE_STORE: from the store
+ * enum pgw_source_from - source of the missing parts
+ * @PGW_SOURCE_PREFILL: none; the engine prefills them
+ * @PGW_SOURCE_ENGINE: the other engine that holds them
+ * @PGW_SOURCE_STORE: the KV store
  */
 enum pgw_source_from {
-    PGW_SOURCE_READ,
+    PGW_SOURCE_PREFILL,
     PGW_SOURCE_ENGINE,
     PGW_SOURCE_STORE,
 };
 
 /**
  * struct pgw_source - the decision
- * @from: where they come from
- * @save: the store keeps the parts
+ * @from: source of the parts
+ * @save: the store saves the parts
  */
 struct pgw_source {
     enum pgw_source_from from;
     bool save;
 };
 
-/** pgw_source_decide() - decide for one request */
+/** pgw_source_decide() - choose the source for a request */
 struct pgw_source pgw_source_decide(const struct pgw_source_input *input,
                                     const struct pgw_source_options *options);
 
--- a/src/gateway/wait_queue.h
+++ b/src/gateway/wait_queue.h
@@ -6,17 +6,17 @@
 #include <stdint.h>
 
 /**
- * DOC: Requests that wait for a place
+ * DOC: Requests that wait for a free slot
  *
- * One queue for each rank of priority, first come first served within it.
+ * One queue per rank of priority, first come, first served within it.
  */
 
 #define PGW_WAIT_QUEUE_RANKS 16
 
 /**
  * struct pgw_wait_queue_item - embedded in a request
- * @link: place in the queue; unlinked while it does not wait
- * @rank: its queue
+ * @link: position in the queue; unlinked if the request is not queued
+ * @rank: index of its queue
  */
 struct pgw_wait_queue_item {
     struct pgw_list link;
@@ -24,25 +24,25 @@
 };
 
 /**
- * struct pgw_wait_queue - the queues
+ * struct pgw_wait_queue - queues by rank
  * @queues: the most urgent first
- * @count: items in all of them
+ * @count: number of items in all queues
  */
 struct pgw_wait_queue {
     struct pgw_list queues[PGW_WAIT_QUEUE_RANKS];
     unsigned count;
 };
 
-void pgw_wait_queue_init(struct pgw_wait_queue *waiting);
+void pgw_wait_queue_init(struct pgw_wait_queue *queue);
 
-/** pgw_wait_queue_add() - queue an item; ranks beyond the last count as that
+/** pgw_wait_queue_add() - queue an item; too high ranks count as the last one
  */
-void pgw_wait_queue_add(struct pgw_wait_queue *waiting,
+void pgw_wait_queue_add(struct pgw_wait_queue *queue,
                         struct pgw_wait_queue_item *item, unsigned rank);
 
-/** pgw_wait_queue_remove() - take it out; does nothing when it does not wait
+/** pgw_wait_queue_remove() - remove an item; does nothing if it is not queued
  */
-void pgw_wait_queue_remove(struct pgw_wait_queue *waiting,
+void pgw_wait_queue_remove(struct pgw_wait_queue *queue,
                            struct pgw_wait_queue_item *item);
 
 #endif
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -307,7 +307,7 @@
     struct pool pool;
     struct pgw_upstream *busy;
     struct pgw_upstream *idle;
-    struct pgw_upstream_load reading = {
+    struct pgw_upstream_load prefilling = {
         .running = 1, .long_prefills = 1, .kv_used = 100, .kv_total = 140000};
 
     pool_init(&pool);
@@ -316,7 +316,7 @@
     set_prompt(&pool, 60);
     idle->inflight = 3;
     g_assert_true(choose(&pool).upstream == busy);
-    pgw_upstream_take_load(busy, &reading, NOW);
+    pgw_upstream_take_load(busy, &prefilling, NOW);
     g_assert_true(choose(&pool).upstream == idle);
     pgw_upstream_table_free(pool.table);
 }
--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -4,10 +4,10 @@
 #include <unistd.h>
 
 #define MODEL "m"
-/* A pool of more engines than one choice weighs. */
+/* More engines than are evaluated for one request. */
 #define ENGINES 160
-/* Of these, in the gateway's own zone: enough to be weighed alone. */
-#define NEAR 10
+/* Number of engines in the gateway's zone: enough to be evaluated alone. */
+#define LOCAL_ENGINES 10
 /* Longer than any test takes. */
 #define WAIT_US (60 * UINT64_C(1000000))
 #define PROMPT                                                                \
@@ -15,26 +15,26 @@
     "Prompt-Prefix: ab12:13000,cd34:3000\r\n"
 
 /**
- * struct sidecars - those of all engines, played by the test
- * @asked: how many were asked
- * @homes: positions of their engines
+ * struct fake_sidecars - state of the simulated sidecars
+ * @probed: number of sidecars that were probed
  * @last: number of the last probe
- * @announced: position of the engine that a request was announced to, or -1
- * @to_read: tokens that it was told to have to read
- * @request: id of that request
- * @ended: how often an end of that request was announced
+ * @homes: positions of the probed engines
+ * @announced_to: position of the engine that a request was announced to, or -1
+ * @pending_tokens: tokens to prefill, as announced
+ * @request: id of the announced request
+ * @ended: number of announcements that the request's prefill has ended
  */
-struct sidecars {
-    unsigned asked;
+struct fake_sidecars {
+    unsigned probed;
     uint64_t last;
     int homes[ENGINES];
-    int announced;
-    uint32_t to_read;
+    int announced_to;
+    uint32_t pending_tokens;
     uint64_t request;
     unsigned ended;
 };
 
-static struct sidecars sidecars;
+static struct fake_sidecars fake_sidecars;
 
 static struct pgw_upstream *
 engine(struct scene *scene, int position)
@@ -57,14 +57,14 @@
 {
     (void)context;
     if (announcement->to_read == 0 && announcement->count == 0) {
-        g_assert_cmpint(sidecars.announced, ==, position_of(upstream));
-        g_assert_cmpuint(sidecars.request, ==, announcement->request);
-        sidecars.ended++;
+        g_assert_cmpint(fake_sidecars.announced_to, ==, position_of(upstream));
+        g_assert_cmpuint(fake_sidecars.request, ==, announcement->request);
+        fake_sidecars.ended++;
         return;
     }
-    sidecars.announced = position_of(upstream);
-    sidecars.to_read = announcement->to_read;
-    sidecars.request = announcement->request;
+    fake_sidecars.announced_to = position_of(upstream);
+    fake_sidecars.pending_tokens = announcement->to_read;
+    fake_sidecars.request = announcement->request;
 }
 
 static bool
@@ -75,8 +75,8 @@
     (void)keys;
     g_assert_cmpuint(count, ==, 1);
     g_assert_false(upstream->same_zone);
-    sidecars.homes[sidecars.asked++] = position_of(upstream);
-    sidecars.last = number;
+    fake_sidecars.homes[fake_sidecars.probed++] = position_of(upstream);
+    fake_sidecars.last = number;
     return true;
 }
 
@@ -85,7 +85,7 @@
     .probe = probe,
 };
 
-/* Engines of two zones, all at the address of the one that the test plays. */
+/* Adds engines of two zones, all at the address of the simulated one. */
 static void
 add_engines(struct scene *scene)
 {
@@ -99,7 +99,7 @@
             .id = id,
             .service = "service",
             .address = address,
-            .zone = i < NEAR ? "a" : "b",
+            .zone = i < LOCAL_ENGINES ? "a" : "b",
             .slots = 8,
             .models = {{(char *)MODEL, 1}},
             .model_count = 1,
@@ -115,33 +115,33 @@
 }
 
 static struct scene *
-open_scene(uint64_t probe_wait_us)
+set_up_scene(uint64_t probe_wait_us)
 {
     struct scene *scene = scene_new_waiting(1, probe_wait_us);
 
-    sidecars = (struct sidecars){.announced = -1};
+    fake_sidecars = (struct fake_sidecars){.announced_to = -1};
     scene_set_routes(scene, 5, true);
     scene_run(scene, add_engines);
     return scene;
 }
 
-static unsigned asked_by_now;
+static unsigned probed_by_now;
 
 static void
-look(struct scene *scene)
+read_probed(struct scene *scene)
 {
     (void)scene;
-    asked_by_now = sidecars.asked;
+    probed_by_now = fake_sidecars.probed;
 }
 
 static int
-ask(struct scene *scene)
+send_prompt(struct scene *scene)
 {
     int caller = scene_call_with_fields(scene, "/flow/", "a", PROMPT);
 
-    asked_by_now = 0;
-    while (asked_by_now == 0) {
-        scene_run(scene, look);
+    probed_by_now = 0;
+    while (probed_by_now == 0) {
+        scene_run(scene, read_probed);
     }
     return caller;
 }
@@ -155,24 +155,25 @@
     return pgw_part_key(MODEL, salt, pgw_part_id("ab12", 4));
 }
 
-/* All homes are idle, and the second one has the prompt's part. */
+/* All homes are idle, and the second one holds the prompt's part. */
 static void
-answer_all(struct scene *scene)
+answer_probes(struct scene *scene)
 {
     struct pgw_upstream_load load = {.slots = 8, .kv_total = 140000};
 
-    for (unsigned i = 0; i < sidecars.asked; i++) {
-        pgw_upstream_take_load(engine(scene, sidecars.homes[i]), &load,
+    for (unsigned i = 0; i < fake_sidecars.probed; i++) {
+        pgw_upstream_take_load(engine(scene, fake_sidecars.homes[i]), &load,
                                pgw_now_us());
     }
-    pgw_upstream_hold(engine(scene, sidecars.homes[1]), part_key(), 13000);
-    for (unsigned i = 0; i < sidecars.asked; i++) {
-        pgw_gateway_probe_answered(scene->gateway, sidecars.last,
-                                   engine(scene, sidecars.homes[i]));
+    pgw_upstream_hold(engine(scene, fake_sidecars.homes[1]), part_key(),
+                      13000);
+    for (unsigned i = 0; i < fake_sidecars.probed; i++) {
+        pgw_gateway_probe_answered(scene->gateway, fake_sidecars.last,
+                                   engine(scene, fake_sidecars.homes[i]));
     }
 }
 
-/* Returns the engine that got the request. */
+/* Returns the position of the engine that got the request. */
 static int
 serve(struct scene *scene, int caller)
 {
@@ -194,59 +195,59 @@
     return position;
 }
 
-/* Guards against a prompt that is read again beside an engine of another zone
- * that holds it. */
+/* Guards against prefilling a prompt again although an engine of a remote zone
+ * holds it. */
 static void
-test_goes_to_its_holder(void)
+test_prompt_goes_to_its_holder(void)
 {
-    struct scene *scene = open_scene(WAIT_US);
-    int caller = ask(scene);
+    struct scene *scene = set_up_scene(WAIT_US);
+    int caller = send_prompt(scene);
 
-    g_assert_cmpuint(sidecars.asked, >, 1);
+    g_assert_cmpuint(fake_sidecars.probed, >, 1);
     g_assert_true(scene_is_quiet(scene, 0));
-    scene_run(scene, answer_all);
-    g_assert_cmpint(serve(scene, caller), ==, sidecars.homes[1]);
-    g_assert_cmpint(sidecars.announced, ==, sidecars.homes[1]);
-    g_assert_cmpuint(sidecars.to_read, ==, 3000);
-    /* The turn of the loop that answered the caller is over. */
-    scene_run(scene, look);
-    g_assert_cmpuint(sidecars.ended, ==, 1);
+    scene_run(scene, answer_probes);
+    g_assert_cmpint(serve(scene, caller), ==, fake_sidecars.homes[1]);
+    g_assert_cmpint(fake_sidecars.announced_to, ==, fake_sidecars.homes[1]);
+    g_assert_cmpuint(fake_sidecars.pending_tokens, ==, 3000);
+    /* Lets the event loop finish the turn that answered the caller. */
+    scene_run(scene, read_probed);
+    g_assert_cmpuint(fake_sidecars.ended, ==, 1);
     scene_free(scene);
 }
 
-/* Guards against a caller that waits for sidecars which do not answer: the own
- * zone's engine takes the prompt. */
+/* Guards against a caller that waits for sidecars which do not answer: an
+ * engine of the local zone gets the prompt. */
 static void
-test_unanswered(void)
+test_unanswered_probes(void)
 {
-    struct scene *scene = open_scene(1000);
-    int caller = ask(scene);
+    struct scene *scene = set_up_scene(1000);
+    int caller = send_prompt(scene);
 
-    g_assert_cmpint(serve(scene, caller), <, NEAR);
+    g_assert_cmpint(serve(scene, caller), <, LOCAL_ENGINES);
     scene_free(scene);
 }
 
 static void
 answer_late(struct scene *scene)
 {
-    for (unsigned i = 0; i < sidecars.asked; i++) {
-        pgw_gateway_probe_answered(scene->gateway, sidecars.last,
-                                   engine(scene, sidecars.homes[i]));
+    for (unsigned i = 0; i < fake_sidecars.probed; i++) {
+        pgw_gateway_probe_answered(scene->gateway, fake_sidecars.last,
+                                   engine(scene, fake_sidecars.homes[i]));
     }
     g_assert_cmpuint(pgw_gateway_busy(scene->gateway), ==, 0);
 }
 
-/* Guards against an answer that reaches a request which is gone. */
+/* Guards against an answer for a request that has ended. */
 static void
 test_caller_leaves(void)
 {
-    struct scene *scene = open_scene(WAIT_US);
-    int caller = ask(scene);
+    struct scene *scene = set_up_scene(WAIT_US);
+    int caller = send_prompt(scene);
 
     close(caller);
-    /* Turns of the loop in which it sees that the caller has left. */
+    /* Lets the event loop detect that the caller has left. */
     for (unsigned i = 0; i < 5; i++) {
-        scene_run(scene, look);
+        scene_run(scene, read_probed);
     }
     scene_run(scene, answer_late);
     scene_free(scene);
@@ -255,22 +256,22 @@
 static void
 remove_homes(struct scene *scene)
 {
-    for (unsigned i = 0; i < sidecars.asked; i++) {
+    for (unsigned i = 0; i < fake_sidecars.probed; i++) {
         pgw_upstream_table_remove(pgw_gateway_upstreams(scene->gateway),
-                                  engine(scene, sidecars.homes[i]));
+                                  engine(scene, fake_sidecars.homes[i]));
     }
 }
 
-/* Guards against a home that leaves the list while its answer is waited for.
- */
+/* Guards against a home that is removed from the list while its answer is
+ * awaited. */
 static void
-test_home_goes(void)
+test_home_is_removed(void)
 {
-    struct scene *scene = open_scene(100000);
-    int caller = ask(scene);
+    struct scene *scene = set_up_scene(100000);
+    int caller = send_prompt(scene);
 
     scene_run(scene, remove_homes);
-    g_assert_cmpint(serve(scene, caller), <, NEAR);
+    g_assert_cmpint(serve(scene, caller), <, LOCAL_ENGINES);
     scene_free(scene);
 }
 
@@ -279,9 +280,9 @@
 {
     g_test_init(&argc, &argv, NULL);
     pgw_log_init("test", "", "error");
-    g_test_add_func("/home_probe/holder", test_goes_to_its_holder);
-    g_test_add_func("/home_probe/unanswered", test_unanswered);
+    g_test_add_func("/home_probe/holder", test_prompt_goes_to_its_holder);
+    g_test_add_func("/home_probe/unanswered", test_unanswered_probes);
     g_test_add_func("/home_probe/caller_leaves", test_caller_leaves);
-    g_test_add_func("/home_probe/home_goes", test_home_goes);
+    g_test_add_func("/home_probe/home_is_removed", test_home_is_removed);
     return g_test_run();
 }
--- a/tests/unit/test_quota_bucket.c
+++ b/tests/unit/test_quota_bucket.c
@@ -138,7 +138,7 @@
     struct pgw_quota_buckets *buckets = full_buckets();
     struct pgw_quota_request request = request_of(0);
     unsigned granted[2] = {0};
-    unsigned asked[2] = {0};
+    unsigned requested[2] = {0};
     double units = 0;
     const unsigned seconds = 30;
 
@@ -150,12 +150,12 @@
             request.cost = is_long ? 17020 : 388;
             pgw_quota_buckets_handle_request(&answer, buckets, &request,
                                              S + ms * UINT64_C(1000));
-            asked[is_long]++;
+            requested[is_long]++;
             granted[is_long] += answer.granted > 0;
             units += answer.granted;
         }
     }
-    g_assert_cmpuint(granted[0] * 100, >=, asked[0] * 99);
+    g_assert_cmpuint(granted[0] * 100, >=, requested[0] * 99);
     g_assert_cmpuint(granted[1], >, 0);
     /* All of the quota is used except what is saved up for one long prompt. */
     g_assert_cmpfloat(units, >, 47000.0 * seconds - 17020);
--- a/tests/unit/test_source.c
+++ b/tests/unit/test_source.c
@@ -13,7 +13,7 @@
     g_assert_cmpint(source.save, ==, save);
 }
 
-/* Another engine holds all that is missing: nothing is read, nothing saved. */
+/* Another engine holds all missing parts: nothing is prefilled or saved. */
 static void
 test_holder_of_all(void)
 {
@@ -23,13 +23,13 @@
                                      .has_store = true};
 
     expect(&input, PGW_SOURCE_ENGINE, false);
-    input.holder_missing = 15; /* the broken last block */
+    input.holder_missing = 15; /* less than one block */
     expect(&input, PGW_SOURCE_ENGINE, false);
 }
 
-/* Engines hold the part that all prompts begin with, none the rest, which the
- * store has had since it was read first. Without a store the holder is better
- * than nothing. */
+/* Engines hold the part that all prompts begin with, but not the others. The
+ * store has had those since they were first prefilled. Without a store the
+ * holder is better than no source. */
 static void
 test_holder_of_the_first_part(void)
 {
@@ -44,7 +44,8 @@
     expect(&input, PGW_SOURCE_ENGINE, false);
 }
 
-/* New weights: no engine holds anything. What is read first is kept. */
+/* After new weights no engine holds any part: what is prefilled first is
+ * saved. */
 static void
 test_cold(void)
 {
@@ -53,18 +54,18 @@
 
     expect(&input, PGW_SOURCE_STORE, true);
     input.has_store = false;
-    expect(&input, PGW_SOURCE_READ, false);
+    expect(&input, PGW_SOURCE_PREFILL, false);
 }
 
-/* The engine has all, as far as is known: long prompts are fetched all the
- * same, short ones are not. */
+/* As far as is known the engine lacks nothing: long prompts are fetched
+ * anyway, short ones are not. */
 static void
 test_nothing_is_missing(void)
 {
     struct pgw_source_input input = {
         .shared = 568, .has_holder = true, .has_store = true};
 
-    expect(&input, PGW_SOURCE_READ, false);
+    expect(&input, PGW_SOURCE_PREFILL, false);
     input.shared = 5382;
     expect(&input, PGW_SOURCE_ENGINE, false);
     input.has_holder = false;
