--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -53,7 +53,7 @@
 /**
  * struct pgw_part_update - state of one part, as reported to entries
  * @key: pgw_part_key() of the part
- * @tokens: number of its tokens that are cached; 0: none
+ * @tokens: number of its tokens that are cached, or expected to be; 0: none
  * @expected: a request with the part is in flight to the engine; the part
  *   counts as cached for a short time
  */
