--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -144,7 +144,7 @@
 static bool
 is_evaluated_whole(const struct pgw_upstream_pool *pool)
 {
-    return !pool->divided && pool->all->len <= PGW_CANDIDATES_MAX;
+    return !pool->remote_on_request && pool->all->len <= PGW_CANDIDATES_MAX;
 }
 
 void
@@ -186,12 +186,12 @@
     if (scope == PGW_CANDIDATES_ALL_ZONES) {
         samples = SAMPLES_ALL_ZONES;
     }
-    else if (!out->all && pool->near->len >= LOCAL_ZONE_MIN) {
-        source = pool->near;
+    else if (!out->all && pool->local->len >= LOCAL_ZONE_MIN) {
+        source = pool->local;
     }
     /* Engines of other zones that send no reports all look idle: a random
      * sample keeps requests from all going to the highest ranked one. */
-    all_reported = out->all || source == pool->near;
+    all_reported = out->all || source == pool->local;
     if (all_reported && source->len <= PGW_CANDIDATES_MAX) {
         add_all(out, source, random);
     }
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -75,7 +75,7 @@
     if (!upstream->same_zone) {
         cost += 0.5;
     }
-    if (now_us < upstream->cold_until_us) {
+    if (now_us < upstream->warmup_until_us) {
         cost += 0.5;
     }
     /* A failure rate of one half costs as much as half a round. */
@@ -156,8 +156,8 @@
     for (size_t i = 0; i + 1 < prompt->part_count; i++) {
         uint64_t key = pgw_part_key(input->model, salt, prompt->parts[i].id);
 
-        if (!pgw_upstream_holds(upstream, key, prompt->parts[i].tokens,
-                                expected, input->now_us)) {
+        if (!pgw_upstream_has_part(upstream, key, prompt->parts[i].tokens,
+                                   expected, input->now_us)) {
             break;
         }
         missing -= prompt->parts[i].tokens;
@@ -285,8 +285,9 @@
         return 0;
     }
     return upstream->load.unread > 0
-               ? pgw_upstream_unread(upstream, prefill_tokens_per_ms, now_us)
-               : pgw_upstream_long_prefills(upstream, now_us) *
+               ? pgw_upstream_others_pending_tokens(
+                     upstream, prefill_tokens_per_ms, now_us)
+               : pgw_upstream_others_long_prefills(upstream, now_us) *
                      options->long_prefill_tokens;
 }
 
@@ -315,7 +316,7 @@
         (is_home(set, position) || set->missing[position] == 0) &&
         pgw_upstream_version(upstream, input->model) >=
             input->newest_version &&
-        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL;
+        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL_TOKENS;
 
     return (has_affinity ? options->home_max_load : options->engine_max_load) *
            upstream->slots;
@@ -332,10 +333,11 @@
                    const struct pgw_choose_input *input,
                    const struct pgw_choose_options *options)
 {
-    double long_prefills = upstream->long_prefills +
-                           pgw_upstream_long_prefills(upstream, input->now_us);
+    double long_prefills =
+        upstream->long_prefills +
+        pgw_upstream_others_long_prefills(upstream, input->now_us);
 
-    return tokens < PGW_LONG_PREFILL ||
+    return tokens < PGW_LONG_PREFILL_TOKENS ||
            long_prefills <
                MAX(options->long_prefill_share * upstream->slots, 1);
 }
@@ -390,7 +392,7 @@
                       options, input->now_us);
     cost += set->candidates.rank[position] * rank_cost;
     cost += non_home_cost(position, input, options, set);
-    if (upstream->loads_next) {
+    if (upstream->is_next_to_load) {
         cost += MAX(input->run_ms - input->load_wait_ms, 0) *
                 options->load_delay_weight * input->prefill_tokens_per_ms;
     }
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -133,7 +133,7 @@
     state.running = load.running;
     state.waiting = load.waiting;
     state.long_prefills = load.long_prefills;
-    state.entries = pgw_engine_sidecar_entries(guard);
+    state.entries = pgw_engine_sidecar_entry_count(guard);
     state.unread = load.unread;
     state.kv_used = load.kv_used;
     state.kv_total = load.kv_total;
@@ -305,6 +305,6 @@
 pgw_engine_sidecar_has_reportable_change(struct pgw_engine_sidecar *guard)
 {
     return has_changed(guard) &&
-           pgw_report_budget_has(&guard->budget, count_far(guard),
-                                 pgw_now_us());
+           pgw_report_budget_allows_report(&guard->budget, count_far(guard),
+                                           pgw_now_us());
 }
--- a/src/gateway/home_probe.c
+++ b/src/gateway/home_probe.c
@@ -17,7 +17,7 @@
 stop_waiting(struct pgw_exchange *exchange)
 {
     if (exchange->probe != 0) {
-        exchange->probing_us += pgw_now_us() - exchange->probed_at_us;
+        exchange->probes_waited_us += pgw_now_us() - exchange->probed_at_us;
         g_hash_table_remove(exchange->gateway->probes, &exchange->probe);
         exchange->probe = 0;
     }
@@ -42,7 +42,7 @@
     size_t kept = 0;
 
     for (size_t i = 0; i < homes->count; i++) {
-        if (exchange->answered[i]) {
+        if (exchange->home_is_fresh[i]) {
             homes->items[kept++] = homes->items[i];
         }
         else {
@@ -61,7 +61,7 @@
     exchange->probed_at_us = pgw_now_us();
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
     remove_unanswered(exchange);
-    pgw_exchange_place(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
 static void
@@ -71,7 +71,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
     for (size_t i = 0; i < exchange->homes.count; i++) {
-        pgw_metric_counter_add(&unanswered, !exchange->answered[i]);
+        pgw_metric_counter_add(&unanswered, !exchange->home_is_fresh[i]);
     }
     resume_dispatch(exchange);
 }
@@ -88,8 +88,8 @@
         return;
     }
     for (size_t i = 0; i < exchange->homes.count; i++) {
-        exchange->answered[i] |= exchange->homes.items[i] == upstream;
-        all_answered = all_answered && exchange->answered[i];
+        exchange->home_is_fresh[i] |= exchange->homes.items[i] == upstream;
+        all_answered = all_answered && exchange->home_is_fresh[i];
     }
     if (all_answered) {
         resume_dispatch(exchange);
@@ -131,7 +131,7 @@
             pgw_metric_counter_add(&probes, probed);
         }
         /* Sidecars of the local zone send reports without a probe. */
-        exchange->answered[i] = homes->items[i]->same_zone;
+        exchange->home_is_fresh[i] = homes->items[i]->same_zone;
         any_probed |= probed;
     }
     return any_probed;
@@ -145,7 +145,8 @@
 
     return gateway->sidecars != NULL && exchange->facts.model != NULL &&
            exchange->facts.prompt.part_count > 0 &&
-           pgw_prompt_shared(&exchange->facts.prompt) >= PGW_LONG_PREFILL &&
+           pgw_prompt_shared(&exchange->facts.prompt) >=
+               PGW_LONG_PREFILL_TOKENS &&
            pgw_policy_is_on(&gateway->options.policy,
                             PGW_MECHANISM_HOME_PROBES) &&
            !pgw_list_is_linked(&exchange->waiting.link) &&
@@ -195,7 +196,7 @@
         return false;
     }
     if (exchange->phase != PGW_PHASE_RELAYING) {
-        exchange->phase = PGW_PHASE_WAITING;
+        exchange->phase = PGW_PHASE_QUEUED;
     }
     exchange->attempt_timer.on_due = on_probe_timeout;
     pgw_timer_start(gateway->loop, &exchange->attempt_timer,
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -266,7 +266,7 @@
 
     forget_ask(quota, exchange);
     if (decide_locally(quota, update_workspace(quota, exchange), exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -295,7 +295,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
     if (pgw_quota_admit(exchange->gateway->quota, exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -402,7 +402,7 @@
     pgw_timer_stop(quota->gateway->loop, &exchange->attempt_timer);
     if (answer->granted > 0) {
         exchange->quota_spent = exchange->quota_cost;
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
     else {
         refuse(workspace, exchange, answer->retry_ms);
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -113,7 +113,7 @@
  * @exchange: a request that has just begun
  *
  * Return: false if the request was refused, and is freed, or if it waits for
- * its owner's answer. In the second case pgw_exchange_place() or
+ * its owner's answer. In the second case pgw_exchange_dispatch() or
  * pgw_exchange_refuse() follows.
  */
 bool pgw_quota_admit(struct pgw_quota *quota, struct pgw_exchange *exchange);
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -117,7 +117,7 @@
     full->inflight = full->slots;
     g_assert_true(choose(&pool).upstream == loading);
     for (unsigned i = 0; i < 4; i++) {
-        pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW);
+        pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW);
     }
     pool.input.now_us = NOW + 200000;
     g_assert_null(choose(&pool).upstream);
@@ -127,12 +127,12 @@
     g_assert_true(choose(&pool).upstream == loading);
     /* A success in between means that the engine was only full for a moment.
      */
-    pgw_upstream_note(loading, PGW_RESULT_GOOD, NOW + 240000);
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_COMPLETED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_true(choose(&pool).upstream == loading);
     /* The sidecar's report that the load is complete ends the backoff. */
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_set_loading(loading, true, NOW + 240000);
     pgw_upstream_set_loading(loading, false, NOW + 240000);
@@ -177,7 +177,7 @@
     bad = add(&pool, "bad", "a", 1);
     good = add(&pool, "good", "b", 2);
     good->inflight = 11;
-    pgw_upstream_note(bad, PGW_RESULT_BROKEN, NOW);
+    pgw_upstream_record_attempt(bad, PGW_RESULT_BROKEN, NOW);
     g_assert_true(choose(&pool).upstream == good);
     good->leaving = true;
     g_assert_true(choose(&pool).upstream == bad);
@@ -202,13 +202,13 @@
     }
     set_prompt(&pool, 13000);
     for (unsigned i = 0; i < 4; i++) {
-        pgw_upstream_hold(engines[i], shared_key(1), 13000);
+        pgw_upstream_set_cached_part(engines[i], shared_key(1), 13000);
         choice = choose(&pool);
         g_assert_true(choice.upstream == engines[i]);
         g_assert_cmpuint(choice.missing_tokens, ==, 0);
-        pgw_upstream_hold(engines[i], shared_key(1), 0);
+        pgw_upstream_set_cached_part(engines[i], shared_key(1), 0);
     }
-    pgw_upstream_hold(engines[3], shared_key(1), 13000);
+    pgw_upstream_set_cached_part(engines[3], shared_key(1), 13000);
     engines[3]->inflight = 12;
     choice = choose(&pool);
     g_assert_true(choice.upstream != engines[3]);
@@ -231,7 +231,7 @@
     old = add(&pool, "old", "a", 1);
     new = add(&pool, "new", "a", 2);
     pgw_upstream_set_version(new, MODEL, 2);
-    pgw_upstream_hold(old, shared_key(1), 13000);
+    pgw_upstream_set_cached_part(old, shared_key(1), 13000);
     old->inflight = 12;
     set_prompt(&pool, 13000);
     pool.input.version = 2;
@@ -271,7 +271,7 @@
 
     pool_init(&pool);
     engine = add(&pool, "e", "a", 1);
-    pgw_upstream_take_load(engine, &load, NOW);
+    pgw_upstream_update_load(engine, &load, NOW);
     set_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
     set_prompt(&pool, 100);
@@ -292,8 +292,8 @@
 
     pool_init(&pool);
     engine = add(&pool, "e", "a", 1);
-    pgw_upstream_take_load(engine, &report, NOW);
-    pgw_upstream_take_load(engine, &head, NOW);
+    pgw_upstream_update_load(engine, &report, NOW);
+    pgw_upstream_update_load(engine, &head, NOW);
     set_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
@@ -316,7 +316,7 @@
     set_prompt(&pool, 60);
     idle->inflight = 3;
     g_assert_true(choose(&pool).upstream == busy);
-    pgw_upstream_take_load(busy, &prefilling, NOW);
+    pgw_upstream_update_load(busy, &prefilling, NOW);
     g_assert_true(choose(&pool).upstream == idle);
     pgw_upstream_table_free(pool.table);
 }
@@ -492,7 +492,7 @@
     for (size_t i = 0; i < homes.count; i++) {
         homes.items[i]->inflight = homes.items[i]->slots;
     }
-    pgw_upstream_hold(homes.items[2], shared_key(1), 13000);
+    pgw_upstream_set_cached_part(homes.items[2], shared_key(1), 13000);
     g_assert_true(choose(&pool).upstream == homes.items[2]);
     pool.input.newest_version = 2;
     upstream = choose(&pool).upstream;
@@ -515,7 +515,7 @@
     pool_init(&pool);
     busy = add(&pool, "busy", "a", 1);
     other = add(&pool, "other", "a", 2);
-    pgw_upstream_hold(busy, shared_key(1), 13000);
+    pgw_upstream_set_cached_part(busy, shared_key(1), 13000);
     busy->long_prefills = busy->slots / 2;
     other->inflight = other->slots - 1;
     set_prompt(&pool, 100);
@@ -544,7 +544,7 @@
     pool_init(&pool);
     next = add(&pool, "next", "a", 1);
     other = add(&pool, "other", "a", 2);
-    next->loads_next = true;
+    next->is_next_to_load = true;
     other->inflight = 3;
     other->prefill_tokens = 3000;
     set_prompt(&pool, 100);
@@ -604,7 +604,7 @@
     pool.prompt.parts[1] = (struct pgw_prompt_part){.id = 13, .tokens = 4870};
     pool.prompt.part_count = 3;
     pool.prompt.tokens += 4870;
-    pgw_upstream_hold(holder, shared_key(1), 500);
+    pgw_upstream_set_cached_part(holder, shared_key(1), 500);
     holder->inflight = 11;
     holder->prefill_tokens = 50000;
     choice = choose(&pool);
@@ -634,16 +634,16 @@
     other = add(&pool, "other", "a", 2);
     set_prompt(&pool, 100);
     other->inflight = 4;
-    pgw_upstream_note_seen(unresponsive, NOW - 1000000);
+    pgw_upstream_mark_seen(unresponsive, NOW - 1000000);
     g_assert_true(choose(&pool).upstream == unresponsive);
-    pgw_upstream_note_seen(unresponsive, NOW - 1500000);
+    pgw_upstream_mark_seen(unresponsive, NOW - 1500000);
     g_assert_true(choose(&pool).upstream == other);
     other->inflight = other->slots;
     g_assert_true(choose(&pool).upstream == unresponsive);
 
-    pgw_upstream_note_seen(unresponsive, NOW - 3000000);
+    pgw_upstream_mark_seen(unresponsive, NOW - 3000000);
     g_assert_true(choose(&pool).upstream == unresponsive);
-    pgw_upstream_probe(unresponsive, NOW);
+    pgw_upstream_schedule_probe(unresponsive, NOW);
     g_assert_null(choose(&pool).upstream);
     g_assert_true(choose(&pool).busy);
     g_assert_cmpuint(choose(&pool).retry_at_us, ==, NOW + 1000000);
@@ -651,8 +651,8 @@
     g_assert_true(choose(&pool).upstream == unresponsive);
 
     /* An answer of the engine counts like a report of its sidecar. */
-    pgw_upstream_probe(unresponsive, pool.input.now_us);
-    pgw_upstream_note_answer(unresponsive, pool.input.now_us);
+    pgw_upstream_schedule_probe(unresponsive, pool.input.now_us);
+    pgw_upstream_mark_answering(unresponsive, pool.input.now_us);
     g_assert_true(choose(&pool).upstream == unresponsive);
     pgw_upstream_table_free(pool.table);
 }
@@ -719,8 +719,8 @@
 
     pool_init(&pool);
     upstream = add(&pool, "one", "a", 1);
-    pgw_upstream_note_answer(upstream, NOW - 60000000);
-    pgw_upstream_probe(upstream, NOW);
+    pgw_upstream_mark_answering(upstream, NOW - 60000000);
+    pgw_upstream_schedule_probe(upstream, NOW);
     g_assert_cmpint(pgw_upstream_liveness(upstream, NOW), ==, PGW_RESPONSIVE);
     g_assert_true(choose(&pool).upstream == upstream);
     pgw_upstream_table_free(pool.table);
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -214,7 +214,7 @@
     caller = scene_call(scene, "/once/", "c");
     expect(caller, "HTTP/1.1 429 ", "Retry-After: 5");
     g_assert_cmpuint(copy_state().asks, ==, 2);
-    g_assert_true(scene_is_quiet(scene, 0));
+    g_assert_true(scene_has_no_connection(scene, 0));
     scene_free(scene);
 }
 
@@ -251,7 +251,7 @@
         int caller = scene_call(scene, "/once/", "a");
 
         calls++;
-        while (scene_is_quiet(scene, 0)) {
+        while (scene_has_no_connection(scene, 0)) {
             scene_run(scene, do_nothing);
             if (copy_state().asks > asks) {
                 asks = copy_state().asks;
@@ -295,7 +295,7 @@
 static void
 test_waits_for_links(void)
 {
-    struct scene *scene = set_up_owners(scene_new_paused(1));
+    struct scene *scene = set_up_owners(scene_new_with_start_pause(1));
     int caller;
 
     set_all_reachable(false);
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -165,7 +165,7 @@
         struct pgw_upstream **upstream = play->window[i].context;
         size_t engine = (size_t)(upstream - play->engines);
 
-        (*upstream)->loads_next = play->window[i].next;
+        (*upstream)->is_next_to_load = play->window[i].next;
         if (play->window[i].go) {
             play->announced_us[engine] = play->now_us;
             pgw_upstream_set_loading(*upstream, true, UINT64_MAX);
