--- a/bench/placement/sidecar.c
+++ b/bench/placement/sidecar.c
@@ -144,7 +144,7 @@
             runs[work.run_count++].events = 1;
         }
         else {
-            work.reading++;
+            work.unlisted_runs++;
         }
     }
     pgw_announced_prompts_apply_report(&engine->announced, &work,
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -74,7 +74,7 @@
         &(struct pgw_engine_work){
             .runs = sidecar->report.runs,
             .run_count = sidecar->report.run_count,
-            .reading = sidecar->report.unlisted_runs,
+            .unlisted_runs = sidecar->report.unlisted_runs,
             .waiting = sidecar->report.load.waiting,
         },
         now);
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -208,7 +208,7 @@
                      bool with_identity, size_t parts_max)
 {
     bool parts_reset = remote ? sidecar->cached_parts.remote_reset
-                              : sidecar->cached_parts.reset;
+                              : sidecar->cached_parts.local_reset;
     GArray *updates =
         pgw_cached_parts_changes(&sidecar->cached_parts, remote, parts_max);
     struct report report = {
--- a/src/gateway/sidecar_links_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -116,7 +116,7 @@
     message.spent = ask->request.spent;
     message.refused = ask->request.refused;
     message.cost = ask->request.cost;
-    message.stands_in = ask->stands_in;
+    message.stands_in = ask->is_fallback;
     pgw_link_send(link->connection, PGW_FRAME_QUOTA_ASK, &message.base);
     return true;
 }
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -20,7 +20,7 @@
     return good;
 }
 
-/* Each can be switched off by its name, alone. */
+/* Each mechanism can be switched off by its name, without the others. */
 static void
 test_each_has_a_name(void)
 {
@@ -38,9 +38,9 @@
     }
 }
 
-/* A file without a list leaves all on; an unknown name, a key that does not
- * exist and what is no list are refused, and the message says what to write.
- */
+/* A file without a list leaves all mechanisms on. Unknown names, unknown keys
+ * and values of the wrong type are rejected with a message that lists what is
+ * valid. */
 static void
 test_files(void)
 {
