--- a/include/parsleygw/permit.h
+++ b/include/parsleygw/permit.h
@@ -223,30 +223,30 @@
 unsigned pgw_permit_limit(unsigned load_permits, size_t usable);
 
 /**
- * struct pgw_permit_gate - highest number that went to an engine
+ * struct pgw_permit_fencing - highest number that went to an engine
  * @high_water: refuses all below; start with the number that the engine's
  *   status or the permit object names
  *
  * Stands in for engines that ignore fencing numbers, and for those that check
  * but forget the number in a crash: every order passes it.
  */
-struct pgw_permit_gate {
+struct pgw_permit_fencing {
     uint64_t high_water;
 };
 
 /**
- * pgw_permit_gate_admit() - may an order with this number go to the engine?
+ * pgw_permit_fencing_admit() - may an order with this number go to the engine?
  * @gate: the gate
  * @fence: the order's number
  * @error: %PGW_ERROR_STALE
  *
  * An equal number is the same order repeated.
  */
-bool pgw_permit_gate_admit(struct pgw_permit_gate *gate, uint64_t fence,
-                           GError **error);
+bool pgw_permit_fencing_admit(struct pgw_permit_fencing *gate, uint64_t fence,
+                              GError **error);
 
 /**
- * pgw_permit_run() - read, decide, write; again after a lost race
+ * pgw_permit_run_step() - read, decide, write; again after a lost race
  * @slot: as for pgw_permit_decide()
  * @store: the store
  * @scope: name of the permit object, the pool's name
@@ -258,11 +258,12 @@
  *
  * Steps are idempotent: one whose outcome stayed unknown is simply run again.
  */
-bool pgw_permit_run(struct pgw_permit_slot *slot, struct pgw_store *store,
-                    const char *scope,
-                    const struct pgw_permit_request *request,
-                    struct pgw_permit_observer *observer, uint64_t term_us,
-                    uint64_t deadline_us, GError **error);
+bool pgw_permit_run_step(struct pgw_permit_slot *slot, struct pgw_store *store,
+                         const char *scope,
+                         const struct pgw_permit_request *request,
+                         struct pgw_permit_observer *observer,
+                         uint64_t term_us, uint64_t deadline_us,
+                         GError **error);
 
 G_END_DECLS
 
--- a/include/parsleygw/quarantine.h
+++ b/include/parsleygw/quarantine.h
@@ -93,9 +93,10 @@
  */
 char *pgw_quarantine_record_print(const struct pgw_quarantine_record *record);
 
-/** pgw_quarantine_record_has() - whether a record names a crash */
-bool pgw_quarantine_record_has(const struct pgw_quarantine_record *record,
-                               uint64_t crash);
+/** pgw_quarantine_record_has_crash() - whether a record names a crash */
+bool
+pgw_quarantine_record_has_crash(const struct pgw_quarantine_record *record,
+                                uint64_t crash);
 
 /**
  * struct pgw_quarantine_options - settings
@@ -103,14 +104,14 @@
  * @run_us: how long a permit holds; a live process renews it, a run that
  *          is not heard of in time counts as a crash
  * @expiry_us: how long a record counts after its last crash
- * @spread_us: time in which a record reaches all processes; the end of a
+ * @propagation_us: time in which a record reaches all processes; the end of a
  *             crashed run is told that much after the record stands, so that
  *             no caller can send it again to a process that does not know
- * @patience_us: longest wait for a permit
- * @record_us: longest wait for a crash to be recorded; a store that fails
- *             ends it after @spread_us, since peers hear of it at once
- * @stale_us: longest time since pgw_quarantine_synced() in which this process
- *            trusts that it knows all records; after it each request is
+ * @permit_timeout_us: longest wait for a permit
+ * @record_timeout_us: longest wait for a crash to be recorded; a store that
+ * fails ends it after @propagation_us, since peers hear of it at once
+ * @stale_after_us: longest time since pgw_quarantine_mark_synced() in which
+ * this process trusts that it knows all records; after it each request is
  *            checked in the store. 0 (the default): always trusted
  * @poll_us: wait between two looks at a permit that another holds
  * @backoff_us: wait after the store failed
@@ -120,10 +121,10 @@
     uint64_t owner;
     uint64_t run_us;
     uint64_t expiry_us;
-    uint64_t spread_us;
-    uint64_t patience_us;
-    uint64_t record_us;
-    uint64_t stale_us;
+    uint64_t propagation_us;
+    uint64_t permit_timeout_us;
+    uint64_t record_timeout_us;
+    uint64_t stale_after_us;
     uint64_t poll_us;
     uint64_t backoff_us;
     uint32_t records_max;
@@ -133,8 +134,9 @@
     {                                                                         \
         .run_us = 60ull * G_USEC_PER_SEC,                                     \
         .expiry_us = 24ull * 3600 * G_USEC_PER_SEC,                           \
-        .spread_us = G_USEC_PER_SEC, .patience_us = 10ull * G_USEC_PER_SEC,   \
-        .record_us = 10ull * G_USEC_PER_SEC, .poll_us = 100000,               \
+        .propagation_us = G_USEC_PER_SEC,                                     \
+        .permit_timeout_us = 10ull * G_USEC_PER_SEC,                          \
+        .record_timeout_us = 10ull * G_USEC_PER_SEC, .poll_us = 100000,       \
         .backoff_us = 200000, .records_max = 4096                             \
     }
 
@@ -194,8 +196,9 @@
  * @now_us: the time
  *
  * A request that is not suspect is answered at once, without I/O. Each
- * request told to run must be ended by pgw_quarantine_success(), _crash() or
- * _release(), so that a process knows what runs when a record appears.
+ * request told to run must be ended by pgw_quarantine_report_success(),
+ * _crash() or _release(), so that a process knows what runs when a record
+ * appears.
  */
 void pgw_quarantine_admit(struct pgw_quarantine_decision *out,
                           struct pgw_quarantine *quarantine,
@@ -203,7 +206,7 @@
                           uint64_t ticket, bool check, uint64_t now_us);
 
 /**
- * pgw_quarantine_crash() - an upstream crashed while it ran a request
+ * pgw_quarantine_report_crash() - an upstream crashed while it ran a request
  * @quarantine: machine
  * @fingerprint: of the request
  * @ticket: as given to pgw_quarantine_admit(); RECORDED or UNRECORDED will
@@ -211,13 +214,14 @@
  * @crash: the engine's incarnation: one crash counts once, whoever reports it
  * @now_us: the time
  */
-void pgw_quarantine_crash(struct pgw_quarantine *quarantine,
-                          const struct pgw_fingerprint *fingerprint,
-                          uint64_t ticket, uint64_t crash, uint64_t now_us);
+void pgw_quarantine_report_crash(struct pgw_quarantine *quarantine,
+                                 const struct pgw_fingerprint *fingerprint,
+                                 uint64_t ticket, uint64_t crash,
+                                 uint64_t now_us);
 
 /**
- * pgw_quarantine_hear() - a peer passes on a record that may not stand in the
- * store yet
+ * pgw_quarantine_apply_unrecorded() - a peer passes on a record that may not
+ * stand in the store yet
  * @quarantine: machine
  * @fingerprint: of the request
  * @value: the record as JSON
@@ -226,20 +230,21 @@
  *
  * Its crashes count here at once and are written to the store when it answers.
  */
-void pgw_quarantine_hear(struct pgw_quarantine *quarantine,
-                         const struct pgw_fingerprint *fingerprint,
-                         const char *value, size_t length, uint64_t now_us);
+void pgw_quarantine_apply_unrecorded(struct pgw_quarantine *quarantine,
+                                     const struct pgw_fingerprint *fingerprint,
+                                     const char *value, size_t length,
+                                     uint64_t now_us);
 
 /**
- * pgw_quarantine_success() - a request ran to its end without a crash
+ * pgw_quarantine_report_success() - a request ran to its end without a crash
  * @quarantine: machine
  * @fingerprint: of the request
  * @ticket: as given to pgw_quarantine_admit()
  * @now_us: the time
  */
-void pgw_quarantine_success(struct pgw_quarantine *quarantine,
-                            const struct pgw_fingerprint *fingerprint,
-                            uint64_t ticket, uint64_t now_us);
+void pgw_quarantine_report_success(struct pgw_quarantine *quarantine,
+                                   const struct pgw_fingerprint *fingerprint,
+                                   uint64_t ticket, uint64_t now_us);
 
 /**
  * pgw_quarantine_release() - a request is given up: pending, or told to run
@@ -264,11 +269,12 @@
                           uint64_t now_us);
 
 /**
- * pgw_quarantine_synced() - all records up to this moment were applied
+ * pgw_quarantine_mark_synced() - all records up to this moment were applied
  * @quarantine: machine
  * @now_us: when the watch, or a peer that is up to date, last said so
  */
-void pgw_quarantine_synced(struct pgw_quarantine *quarantine, uint64_t now_us);
+void pgw_quarantine_mark_synced(struct pgw_quarantine *quarantine,
+                                uint64_t now_us);
 
 /**
  * pgw_quarantine_next_io() - take a store operation that is due
--- a/include/parsleygw/rollout.h
+++ b/include/parsleygw/rollout.h
@@ -14,12 +14,12 @@
  */
 
 /**
- * struct pgw_rollout_wanted - what the configuration asks of an engine
+ * struct pgw_rollout_desired - what the configuration asks of an engine
  * @model: model of its pool
  * @version: weights version of its pool
  * @adapters: NULL-terminated adapters that profiles name; NULL: none
  */
-struct pgw_rollout_wanted {
+struct pgw_rollout_desired {
     const char *model;
     const char *version;
     const char *const *adapters;
@@ -44,16 +44,16 @@
 };
 
 /**
- * pgw_rollout_next() - the next order that an engine needs
+ * pgw_rollout_next_order() - the next order that an engine needs
  * @out: receives it
  * @wanted: what is asked
  * @engine: what it is
  *
  * Return: false when the engine is as it should be.
  */
-bool pgw_rollout_next(struct pgw_permit_order *out,
-                      const struct pgw_rollout_wanted *wanted,
-                      const struct pgw_rollout_engine *engine);
+bool pgw_rollout_next_order(struct pgw_permit_order *out,
+                            const struct pgw_rollout_desired *wanted,
+                            const struct pgw_rollout_engine *engine);
 
 /** pgw_rollout_is_done() - does the engine show what was ordered? */
 bool pgw_rollout_is_done(const struct pgw_permit_order *order,
--- a/src/libparsleygw/orders.c
+++ b/src/libparsleygw/orders.c
@@ -19,7 +19,7 @@
 
     /* The thread's own. */
     struct pgw_permit_observer observer;
-    struct pgw_permit_gate gate;
+    struct pgw_permit_fencing gate;
     struct pgw_permit_slot slot;
     uint64_t confirmed_us; /* the permit was last written by us */
     uint64_t taken;        /* serial that the order in progress is from */
@@ -102,9 +102,10 @@
     pthread_mutex_lock(&orders->lock);
     request.limit = orders->limit;
     pthread_mutex_unlock(&orders->lock);
-    ok = pgw_permit_run(&orders->slot, orders->options.store, orders->scope,
-                        &request, &orders->observer, orders->options.term_us,
-                        began_us + STORE_TIMEOUT_US, error);
+    ok = pgw_permit_run_step(&orders->slot, orders->options.store,
+                             orders->scope, &request, &orders->observer,
+                             orders->options.term_us,
+                             began_us + STORE_TIMEOUT_US, error);
     if (ok) {
         orders->confirmed_us = began_us;
     }
@@ -161,9 +162,10 @@
         return false;
     }
 #endif
-    return pgw_permit_gate_admit(&orders->gate, orders->slot.fence, error) &&
-           pgw_orders__send(orders->engine_url, &orders->slot.order,
-                            orders->slot.fence, error);
+    return pgw_permit_fencing_admit(&orders->gate, orders->slot.fence,
+                                    error) &&
+           pgw_orders__send_order(orders->engine_url, &orders->slot.order,
+                                  orders->slot.fence, error);
 }
 
 static bool
@@ -173,12 +175,12 @@
     bool done;
 
     *loading = true;
-    if (!pgw_orders__status(&engine, orders->engine_url, NULL)) {
+    if (!pgw_orders__engine_status_get(&engine, orders->engine_url, NULL)) {
         return false;
     }
     done = pgw_rollout_is_done(&orders->slot.order, &engine);
     *loading = engine.loading;
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     return done;
 }
 
@@ -190,9 +192,9 @@
 
     pthread_mutex_lock(&orders->lock);
     needed = orders->wanted &&
-             pgw_rollout_next(
+             pgw_rollout_next_order(
                  out,
-                 &(struct pgw_rollout_wanted){
+                 &(struct pgw_rollout_desired){
                      .model = orders->model,
                      .version = orders->version,
                      .adapters = (const char *const *)orders->adapters},
@@ -408,7 +410,7 @@
     GError *error = NULL;
     bool needed;
 
-    if (!pgw_orders__status(&engine, orders->engine_url, &error)) {
+    if (!pgw_orders__engine_status_get(&engine, orders->engine_url, &error)) {
         set_phase(orders, PGW_ORDERS_IDLE, error);
         g_clear_error(&error);
         return;
@@ -417,7 +419,7 @@
     orders->taken = 0;
     needed = (!orders->looked && left_order(orders, &order)) ||
              next_order(orders, &order, &engine);
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     if (needed) {
         carry_out(orders, &order);
     }
@@ -484,7 +486,7 @@
 
 static bool
 is_other(const struct pgw_orders *orders,
-         const struct pgw_rollout_wanted *wanted)
+         const struct pgw_rollout_desired *wanted)
 {
     const char *const none[] = {NULL};
     const char *const *before = orders->adapters == NULL
@@ -499,8 +501,9 @@
 }
 
 void
-pgw_orders_want(struct pgw_orders *orders,
-                const struct pgw_rollout_wanted *wanted, unsigned limit)
+pgw_orders_set_desired(struct pgw_orders *orders,
+                       const struct pgw_rollout_desired *wanted,
+                       unsigned limit)
 {
     pthread_mutex_lock(&orders->lock);
     orders->serial += is_other(orders, wanted);
--- a/src/libparsleygw/orders.h
+++ b/src/libparsleygw/orders.h
@@ -89,7 +89,7 @@
         .term_us = 15000000, .poll_us = 500000                                \
     }
 
-/** pgw_orders_new() - start; does nothing before pgw_orders_want() */
+/** pgw_orders_new() - start; does nothing before pgw_orders_set_desired() */
 struct pgw_orders *pgw_orders_new(const struct pgw_orders_options *options);
 
 /**
@@ -100,13 +100,14 @@
 void pgw_orders_free(struct pgw_orders *orders);
 
 /**
- * pgw_orders_want() - what the configuration asks of the engine now
+ * pgw_orders_set_desired() - what the configuration asks of the engine now
  * @orders: the orders
  * @wanted: copied
  * @limit: orders at once in the pool, from pgw_permit_limit()
  */
-void pgw_orders_want(struct pgw_orders *orders,
-                     const struct pgw_rollout_wanted *wanted, unsigned limit);
+void pgw_orders_set_desired(struct pgw_orders *orders,
+                            const struct pgw_rollout_desired *wanted,
+                            unsigned limit);
 
 /** pgw_orders_get_state() - any thread */
 void pgw_orders_get_state(struct pgw_orders *orders,
--- a/src/libparsleygw/orders_engine.c
+++ b/src/libparsleygw/orders_engine.c
@@ -96,8 +96,8 @@
 }
 
 bool
-pgw_orders__status(struct pgw_rollout_engine *out, const char *url,
-                   GError **error)
+pgw_orders__engine_status_get(struct pgw_rollout_engine *out, const char *url,
+                              GError **error)
 {
     GString *answer = g_string_new(NULL);
     long status = call(answer, url, "/status", NULL, error);
@@ -132,7 +132,7 @@
 }
 
 void
-pgw_orders__status_dispose(struct pgw_rollout_engine *engine)
+pgw_orders__engine_status_dispose(struct pgw_rollout_engine *engine)
 {
     g_free(engine->model);
     g_free(engine->version);
@@ -172,8 +172,8 @@
 }
 
 bool
-pgw_orders__send(const char *url, const struct pgw_permit_order *order,
-                 uint64_t fence, GError **error)
+pgw_orders__send_order(const char *url, const struct pgw_permit_order *order,
+                       uint64_t fence, GError **error)
 {
     GString *answer = g_string_new(NULL);
     char *body = order_text(order, fence);
--- a/src/libparsleygw/permit.c
+++ b/src/libparsleygw/permit.c
@@ -280,8 +280,8 @@
 }
 
 bool
-pgw_permit_gate_admit(struct pgw_permit_gate *gate, uint64_t fence,
-                      GError **error)
+pgw_permit_fencing_admit(struct pgw_permit_fencing *gate, uint64_t fence,
+                         GError **error)
 {
     bool stale = fence < gate->high_water;
 
--- a/src/libparsleygw/permit_store.c
+++ b/src/libparsleygw/permit_store.c
@@ -225,10 +225,11 @@
 }
 
 bool
-pgw_permit_run(struct pgw_permit_slot *slot, struct pgw_store *store,
-               const char *scope, const struct pgw_permit_request *request,
-               struct pgw_permit_observer *observer, uint64_t term_us,
-               uint64_t deadline_us, GError **error)
+pgw_permit_run_step(struct pgw_permit_slot *slot, struct pgw_store *store,
+                    const char *scope,
+                    const struct pgw_permit_request *request,
+                    struct pgw_permit_observer *observer, uint64_t term_us,
+                    uint64_t deadline_us, GError **error)
 {
     GError *cause = NULL;
     bool passing = false;
--- a/src/libparsleygw/quarantine.c
+++ b/src/libparsleygw/quarantine.c
@@ -75,7 +75,7 @@
 }
 
 void
-pgw_quarantine_synced(struct pgw_quarantine *quarantine, uint64_t now_us)
+pgw_quarantine_mark_synced(struct pgw_quarantine *quarantine, uint64_t now_us)
 {
     quarantine->synced_us = MAX(quarantine->synced_us, now_us);
 }
@@ -155,9 +155,9 @@
 static bool
 is_stale(const struct pgw_quarantine *quarantine)
 {
-    return quarantine->options.stale_us > 0 &&
+    return quarantine->options.stale_after_us > 0 &&
            quarantine->now_us >
-               quarantine->synced_us + quarantine->options.stale_us;
+               quarantine->synced_us + quarantine->options.stale_after_us;
 }
 
 static void
@@ -168,7 +168,8 @@
 
     waiter->ticket = out->ticket;
     waiter->stale = is_stale(quarantine);
-    waiter->until_us = quarantine->now_us + quarantine->options.patience_us;
+    waiter->until_us =
+        quarantine->now_us + quarantine->options.permit_timeout_us;
     pgw_list_append(&suspect->waiters, &waiter->link);
     out->action = PGW_QUARANTINE_PENDING;
 }
@@ -255,9 +256,9 @@
 }
 
 void
-pgw_quarantine_crash(struct pgw_quarantine *quarantine,
-                     const struct pgw_fingerprint *fingerprint,
-                     uint64_t ticket, uint64_t crash, uint64_t now_us)
+pgw_quarantine_report_crash(struct pgw_quarantine *quarantine,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t ticket, uint64_t crash, uint64_t now_us)
 {
     struct pgw_suspect *suspect;
     struct pgw_suspect_crash *entry;
@@ -272,7 +273,8 @@
     entry = g_new0(struct pgw_suspect_crash, 1);
     entry->ticket = ticket;
     entry->crash = crash;
-    entry->patience_us = quarantine->now_us + quarantine->options.record_us;
+    entry->permit_timeout_us =
+        quarantine->now_us + quarantine->options.record_timeout_us;
     pgw_list_append(&suspect->crashes, &entry->link);
 }
 
@@ -289,9 +291,10 @@
 }
 
 void
-pgw_quarantine_hear(struct pgw_quarantine *quarantine,
-                    const struct pgw_fingerprint *fingerprint,
-                    const char *value, size_t length, uint64_t now_us)
+pgw_quarantine_apply_unrecorded(struct pgw_quarantine *quarantine,
+                                const struct pgw_fingerprint *fingerprint,
+                                const char *value, size_t length,
+                                uint64_t now_us)
 {
     struct pgw_quarantine_record record;
     struct pgw_suspect *suspect;
@@ -303,8 +306,8 @@
     for (uint32_t i = 0; i < record.crash_count; i++) {
         suspect = pgw_quarantine__find(quarantine, fingerprint);
         if (suspect == NULL || !is_pending_crash(suspect, record.crashes[i])) {
-            pgw_quarantine_crash(quarantine, fingerprint, 0, record.crashes[i],
-                                 now_us);
+            pgw_quarantine_report_crash(quarantine, fingerprint, 0,
+                                        record.crashes[i], now_us);
         }
     }
     suspect = pgw_quarantine__find(quarantine, fingerprint);
@@ -314,9 +317,9 @@
 }
 
 void
-pgw_quarantine_success(struct pgw_quarantine *quarantine,
-                       const struct pgw_fingerprint *fingerprint,
-                       uint64_t ticket, uint64_t now_us)
+pgw_quarantine_report_success(struct pgw_quarantine *quarantine,
+                              const struct pgw_fingerprint *fingerprint,
+                              uint64_t ticket, uint64_t now_us)
 {
     struct pgw_suspect *suspect =
         pgw_quarantine__find(quarantine, fingerprint);
--- a/src/libparsleygw/quarantine_io.c
+++ b/src/libparsleygw/quarantine_io.c
@@ -89,7 +89,7 @@
 #ifdef PGW_DISABLE_QUARANTINE_SPREAD
     return 0;
 #else
-    return suspect->record.changed_us + quarantine->options.spread_us;
+    return suspect->record.changed_us + quarantine->options.propagation_us;
 #endif
 }
 
--- a/src/libparsleygw/quarantine_record.c
+++ b/src/libparsleygw/quarantine_record.c
@@ -161,8 +161,8 @@
 }
 
 bool
-pgw_quarantine_record_has(const struct pgw_quarantine_record *record,
-                          uint64_t crash)
+pgw_quarantine_record_has_crash(const struct pgw_quarantine_record *record,
+                                uint64_t crash)
 {
     for (uint32_t i = 0; i < record->crash_count; i++) {
         if (record->crashes[i] == crash) {
--- a/src/libparsleygw/quarantine_suspect.c
+++ b/src/libparsleygw/quarantine_suspect.c
@@ -14,7 +14,7 @@
           uint64_t now_us)
 {
     if (record->crash_count < PGW_QUARANTINE_CRASHES &&
-        !pgw_quarantine_record_has(record, crash)) {
+        !pgw_quarantine_record_has_crash(record, crash)) {
         record->crashes[record->crash_count++] = crash;
         record->changed_us = now_us;
     }
@@ -151,7 +151,7 @@
 static void
 settle_crashes(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
 {
-    uint64_t spread = quarantine->options.spread_us;
+    uint64_t spread = quarantine->options.propagation_us;
 
 #ifdef PGW_DISABLE_QUARANTINE_SPREAD
     spread = 0;
@@ -161,7 +161,7 @@
             pgw_container_of(link, struct pgw_suspect_crash, link);
 
         if (!crash->stands && suspect->present &&
-            (pgw_quarantine_record_has(&suspect->record, crash->crash) ||
+            (pgw_quarantine_record_has_crash(&suspect->record, crash->crash) ||
              suspect->record.crash_count == PGW_QUARANTINE_CRASHES)) {
             crash->stands = true;
             crash->told_us = quarantine->now_us + spread;
@@ -232,7 +232,8 @@
 static void
 hasten_crashes(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
 {
-    uint64_t until_us = quarantine->now_us + quarantine->options.spread_us;
+    uint64_t until_us =
+        quarantine->now_us + quarantine->options.propagation_us;
 
     pgw_list_foreach (link, &suspect->crashes) {
         struct pgw_suspect_crash *crash =
--- a/src/libparsleygw/rollout.c
+++ b/src/libparsleygw/rollout.c
@@ -24,7 +24,7 @@
 }
 
 static const char *
-missing_adapter(const struct pgw_rollout_wanted *wanted,
+missing_adapter(const struct pgw_rollout_desired *wanted,
                 const struct pgw_rollout_engine *engine)
 {
     for (size_t i = 0; wanted->adapters != NULL && wanted->adapters[i] != NULL;
@@ -37,9 +37,9 @@
 }
 
 bool
-pgw_rollout_next(struct pgw_permit_order *out,
-                 const struct pgw_rollout_wanted *wanted,
-                 const struct pgw_rollout_engine *engine)
+pgw_rollout_next_order(struct pgw_permit_order *out,
+                       const struct pgw_rollout_desired *wanted,
+                       const struct pgw_rollout_engine *engine)
 {
     const char *adapter = missing_adapter(wanted, engine);
     const char *kind = NULL;
--- a/src/libparsleygw/suspects.c
+++ b/src/libparsleygw/suspects.c
@@ -217,7 +217,7 @@
     bool added = false;
 
     for (uint32_t i = 0; i < more->crash_count; i++) {
-        if (!pgw_quarantine_record_has(record, more->crashes[i])) {
+        if (!pgw_quarantine_record_has_crash(record, more->crashes[i])) {
             added = true;
             if (record->crash_count < PGW_QUARANTINE_CRASHES) {
                 record->crashes[record->crash_count++] = more->crashes[i];
@@ -277,9 +277,9 @@
 }
 
 void
-pgw_suspects_announce(struct pgw_suspects *suspects,
-                      const struct pgw_fingerprint *fingerprint,
-                      uint64_t crash, uint64_t changed_us)
+pgw_suspects_announce_crash(struct pgw_suspects *suspects,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t crash, uint64_t changed_us)
 {
     struct pgw_quarantine_record record = {
         .crash_count = 1,
@@ -306,9 +306,9 @@
 }
 
 void
-pgw_suspects_pass_on(const struct pgw_suspects *suspects,
-                     const struct pgw_fingerprint *fingerprint,
-                     struct pgw_link *link)
+pgw_suspects_send_unrecorded(const struct pgw_suspects *suspects,
+                             const struct pgw_fingerprint *fingerprint,
+                             struct pgw_link *link)
 {
     const struct suspect *suspect = find(suspects, fingerprint);
 
@@ -318,9 +318,9 @@
 }
 
 void
-pgw_suspects_withdraw(struct pgw_suspects *suspects,
-                      const struct pgw_fingerprint *fingerprint,
-                      uint64_t crash)
+pgw_suspects_withdraw_crash(struct pgw_suspects *suspects,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t crash)
 {
     struct suspect *suspect = find(suspects, fingerprint);
 
@@ -334,7 +334,7 @@
 }
 
 void
-pgw_suspects_offer(struct pgw_suspects *suspects, const char *name,
+pgw_suspects_apply(struct pgw_suspects *suspects, const char *name,
                    uint64_t version, const char *value, size_t length)
 {
     merge(suspects, name, version, value, length, true);
@@ -352,8 +352,8 @@
 }
 
 void
-pgw_suspects_retain(struct pgw_suspects *suspects,
-                    const struct pgw_store_list *list)
+pgw_suspects_apply_list(struct pgw_suspects *suspects,
+                        const struct pgw_store_list *list)
 {
     pgw_list_foreach_safe (link, &suspects->order) {
         struct suspect *suspect = pgw_container_of(link, struct suspect, link);
@@ -369,8 +369,8 @@
 }
 
 void
-pgw_suspects_take_frame(struct pgw_suspects *suspects,
-                        const Pgw__Objects *message)
+pgw_suspects_handle_frame(struct pgw_suspects *suspects,
+                          const Pgw__Objects *message)
 {
     for (size_t i = 0; i < message->n_objects; i++) {
         const Pgw__Object *object = message->objects[i];
--- a/src/libparsleygw/suspects.h
+++ b/src/libparsleygw/suspects.h
@@ -55,18 +55,18 @@
                               struct pgw_link *link);
 
 /**
- * pgw_suspects_offer() - a record read from or written to the store
+ * pgw_suspects_apply() - a record read from or written to the store
  * @suspects: the copy
  * @name: the object's name
  * @version: its version; an older or equal one changes nothing
  * @value: JSON, or NULL: deleted
  * @length: bytes of @value
  */
-void pgw_suspects_offer(struct pgw_suspects *suspects, const char *name,
+void pgw_suspects_apply(struct pgw_suspects *suspects, const char *name,
                         uint64_t version, const char *value, size_t length);
 
 /**
- * pgw_suspects_announce() - a crash that may not stand in the store yet
+ * pgw_suspects_announce_crash() - a crash that may not stand in the store yet
  * @suspects: the copy
  * @fingerprint: of a request that ran there
  * @crash: the engine's incarnation
@@ -75,28 +75,30 @@
  * Told to all links at once; changes nothing where a recorded version is in
  * force.
  */
-void pgw_suspects_announce(struct pgw_suspects *suspects,
-                           const struct pgw_fingerprint *fingerprint,
-                           uint64_t crash, uint64_t changed_us);
+void pgw_suspects_announce_crash(struct pgw_suspects *suspects,
+                                 const struct pgw_fingerprint *fingerprint,
+                                 uint64_t crash, uint64_t changed_us);
 
-/** pgw_suspects_pass_on() - tell a link what the store may not hold */
-void pgw_suspects_pass_on(const struct pgw_suspects *suspects,
-                          const struct pgw_fingerprint *fingerprint,
-                          struct pgw_link *link);
+/** pgw_suspects_send_unrecorded() - tell a link what the store may not hold */
+void pgw_suspects_send_unrecorded(const struct pgw_suspects *suspects,
+                                  const struct pgw_fingerprint *fingerprint,
+                                  struct pgw_link *link);
 
-/** pgw_suspects_withdraw() - an announced crash, the only one, is taken back
+/** pgw_suspects_withdraw_crash() - an announced crash, the only one, is taken
+ * back
  */
-void pgw_suspects_withdraw(struct pgw_suspects *suspects,
-                           const struct pgw_fingerprint *fingerprint,
-                           uint64_t crash);
-
-/** pgw_suspects_retain() - what a whole list of the store misses was lifted */
-void pgw_suspects_retain(struct pgw_suspects *suspects,
-                         const struct pgw_store_list *list);
-
-/** pgw_suspects_take_frame() - handle a SUSPECTS frame of a link */
-void pgw_suspects_take_frame(struct pgw_suspects *suspects,
-                             const Pgw__Objects *message);
+void pgw_suspects_withdraw_crash(struct pgw_suspects *suspects,
+                                 const struct pgw_fingerprint *fingerprint,
+                                 uint64_t crash);
+
+/** pgw_suspects_apply_list() - what a whole list of the store misses was
+ * lifted */
+void pgw_suspects_apply_list(struct pgw_suspects *suspects,
+                             const struct pgw_store_list *list);
+
+/** pgw_suspects_handle_frame() - handle a SUSPECTS frame of a link */
+void pgw_suspects_handle_frame(struct pgw_suspects *suspects,
+                               const Pgw__Objects *message);
 
 /**
  * pgw_suspects_find() - the record of a fingerprint
--- a/tests/property/prop_permit.cc
+++ b/tests/property/prop_permit.cc
@@ -39,7 +39,7 @@
     uint64_t version = 10; // the store's counter
     std::unique_ptr<pgw_permit_table> table{new pgw_permit_table()};
     std::vector<Engine> engines;
-    std::vector<pgw_permit_gate> gates;
+    std::vector<pgw_permit_fencing> gates;
     std::vector<Process> processes;
     bool loses_answers = true;
     std::map<size_t, uint64_t> highest; // number by target
@@ -124,7 +124,7 @@
     Engine &engine = world.engines[process.target];
     bool taken = engine.checks
                      ? process.fence >= engine.mark
-                     : pgw_permit_gate_admit(&world.gates[process.target],
+                     : pgw_permit_fencing_admit(&world.gates[process.target],
                                              process.fence, nullptr);
 
     process.stage = taken ? Stage::sent : Stage::idle;
--- a/tests/property/prop_quarantine.cc
+++ b/tests/property/prop_quarantine.cc
@@ -131,7 +131,7 @@
         one.incarnation = next++;
         one.engine = next++;
         options.owner = one.incarnation;
-        options.stale_us = options.spread_us;
+        options.stale_after_us = options.propagation_us;
         one.machine = pgw_quarantine_new(&options);
         see_changes(i);
     }
@@ -146,7 +146,7 @@
             pgw_fingerprint fingerprint = name(what.body);
 
             if (what.unstored) {
-                pgw_quarantine_hear(one.machine, &fingerprint,
+                pgw_quarantine_apply_unrecorded(one.machine, &fingerprint,
                                     what.value->c_str(), what.value->size(),
                                     now);
             }
@@ -157,7 +157,7 @@
                     what.value ? what.value->size() : 0, now);
             }
         }
-        pgw_quarantine_synced(one.machine, now);
+        pgw_quarantine_mark_synced(one.machine, now);
     }
 
     // Time passes in steps shorter than the time in which changes spread.
@@ -312,7 +312,7 @@
                 answer(ticket, PGW_REFUSAL_UPSTREAM_FAILED);
                 continue;
             }
-            pgw_quarantine_crash(processes[reporter].machine, &fingerprint,
+            pgw_quarantine_report_crash(processes[reporter].machine, &fingerprint,
                                  ticket, one.engine, now);
             record.crash_count = 1;
             record.crashes[0] = one.engine;
@@ -344,7 +344,7 @@
 
             one.running.erase(ticket);
             one.alone = one.alone == ticket ? 0 : one.alone;
-            pgw_quarantine_success(one.machine, &fingerprint, ticket, now);
+            pgw_quarantine_report_success(one.machine, &fingerprint, ticket, now);
             if (copies != nullptr && i == 0) {
                 pgw_copies_prove(copies, &fingerprint);
             }
