--- a/src/entry/forward.c
+++ b/src/entry/forward.c
@@ -249,8 +249,9 @@
      * attempt's own limit holds for it.
      */
     if (exchange->suspect) {
-        pgw_suspects_pass_on(exchange->entry->suspects,
-                             &exchange->request.fingerprint, upstream->link);
+        pgw_suspects_send_unrecorded(exchange->entry->suspects,
+                                     &exchange->request.fingerprint,
+                                     upstream->link);
     }
     pgw_link_send(upstream->link, PGW_FRAME_OPEN, &open.base);
 }
--- a/src/entry/lost.c
+++ b/src/entry/lost.c
@@ -24,7 +24,8 @@
     struct lost_marks *lost = &entry->lost;
 
     for (uint32_t i = 0; i < lost->count; i++) {
-        pgw_suspects_withdraw(entry->suspects, &lost->marks[i], lost->crash);
+        pgw_suspects_withdraw_crash(entry->suspects, &lost->marks[i],
+                                    lost->crash);
     }
     lost->count = 0;
 }
@@ -58,8 +59,8 @@
 
     exchange->suspect = true;
     if (pgw_suspects_find(entry->suspects, fingerprint, &recorded) == NULL) {
-        pgw_suspects_announce(entry->suspects, fingerprint, lost->crash,
-                              pgw_hlc_wall_us());
+        pgw_suspects_announce_crash(entry->suspects, fingerprint, lost->crash,
+                                    pgw_hlc_wall_us());
         lost->marks[lost->count++] = *fingerprint;
     }
 }
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -160,8 +160,8 @@
         forward_take_frame(entry, upstream, type, message);
         break;
     case PGW_FRAME_SUSPECTS:
-        pgw_suspects_take_frame(entry->suspects,
-                                (const Pgw__Objects *)message);
+        pgw_suspects_handle_frame(entry->suspects,
+                                  (const Pgw__Objects *)message);
         break;
     default:
         if (!pgw_sync_take_frame(entry->sync, link, type, message)) {
--- a/src/libparsleygw/config_feed.c
+++ b/src/libparsleygw/config_feed.c
@@ -49,11 +49,11 @@
         const struct pgw_store_object *object = &batch->list.objects[i];
         const char *value = object->deleted ? NULL : object->value;
 
-        pgw_suspects_offer(suspects, object->name, object->version, value,
+        pgw_suspects_apply(suspects, object->name, object->version, value,
                            value == NULL ? 0 : strlen(value));
     }
     if (batch->whole) {
-        pgw_suspects_retain(suspects, &batch->list);
+        pgw_suspects_apply_list(suspects, &batch->list);
     }
 }
 
--- a/src/libparsleygw/quarantine.c
+++ b/src/libparsleygw/quarantine.c
@@ -13,8 +13,8 @@
     pgw_list_foreach_safe (waiting, &suspect->waiters) {
         g_free(pgw_container_of(waiting, struct pgw_suspect_waiter, link));
     }
-    pgw_list_foreach_safe (running, &suspect->runs) {
-        g_free(pgw_container_of(running, struct pgw_suspect_waiter, link));
+    pgw_list_foreach_safe (run, &suspect->unpermitted_runs) {
+        g_free(pgw_container_of(run, struct pgw_suspect_waiter, link));
     }
     g_free(suspect);
 }
@@ -62,7 +62,8 @@
 }
 
 void
-pgw_quarantine__advance(struct pgw_quarantine *quarantine, uint64_t now_us)
+pgw_quarantine__advance_time(struct pgw_quarantine *quarantine,
+                             uint64_t now_us)
 {
     quarantine->now_us = MAX(quarantine->now_us, now_us);
 }
@@ -75,14 +76,15 @@
 }
 
 void
-pgw_quarantine_synced(struct pgw_quarantine *quarantine, uint64_t now_us)
+pgw_quarantine_mark_synced(struct pgw_quarantine *quarantine, uint64_t now_us)
 {
     quarantine->synced_us = MAX(quarantine->synced_us, now_us);
 }
 
-/* The longest untouched entry that only repeats what the store holds. */
+/* Removes the least recently used suspect that has nothing pending: its state
+ * is only a copy of the record in the store. */
 static void
-evict(struct pgw_quarantine *quarantine)
+evict_oldest(struct pgw_quarantine *quarantine)
 {
     struct pgw_suspect *oldest = NULL;
     GHashTableIter iter;
@@ -91,14 +93,14 @@
     g_hash_table_iter_init(&iter, quarantine->suspects);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pgw_suspect *suspect = value;
-        bool pending = suspect->runner != 0 ||
-                       suspect->outstanding != PGW_IO_NONE ||
+        bool pending = suspect->permit_ticket != 0 ||
+                       suspect->outstanding_io != PGW_IO_NONE ||
                        !pgw_list_is_empty(&suspect->crashes) ||
                        !pgw_list_is_empty(&suspect->waiters) ||
-                       !pgw_list_is_empty(&suspect->runs);
+                       !pgw_list_is_empty(&suspect->unpermitted_runs);
 
         if (!pending &&
-            (oldest == NULL || suspect->touched_us < oldest->touched_us)) {
+            (oldest == NULL || suspect->last_used_us < oldest->last_used_us)) {
             oldest = suspect;
         }
     }
@@ -115,12 +117,12 @@
         pgw_quarantine__find(quarantine, fingerprint);
 
     if (suspect != NULL) {
-        suspect->touched_us = quarantine->now_us;
+        suspect->last_used_us = quarantine->now_us;
         return suspect;
     }
     if (g_hash_table_size(quarantine->suspects) >=
         quarantine->options.records_max) {
-        evict(quarantine);
+        evict_oldest(quarantine);
     }
     if (g_hash_table_size(quarantine->suspects) >=
         quarantine->options.records_max) {
@@ -128,10 +130,10 @@
     }
     suspect = g_new0(struct pgw_suspect, 1);
     suspect->fingerprint = *fingerprint;
-    suspect->touched_us = quarantine->now_us;
+    suspect->last_used_us = quarantine->now_us;
     pgw_list_init(&suspect->crashes);
     pgw_list_init(&suspect->waiters);
-    pgw_list_init(&suspect->runs);
+    pgw_list_init(&suspect->unpermitted_runs);
     g_hash_table_insert(quarantine->suspects, &suspect->fingerprint, suspect);
     return suspect;
 }
@@ -146,29 +148,30 @@
 }
 
 static void
-refuse(struct pgw_quarantine_decision *out, enum pgw_refusal refusal)
+set_refusal(struct pgw_quarantine_decision *out, enum pgw_refusal refusal)
 {
     out->action = PGW_QUARANTINE_REFUSE;
     out->refusal = refusal;
 }
 
 static bool
-is_stale(const struct pgw_quarantine *quarantine)
+sync_is_stale(const struct pgw_quarantine *quarantine)
 {
-    return quarantine->options.stale_us > 0 &&
+    return quarantine->options.stale_after_us > 0 &&
            quarantine->now_us >
-               quarantine->synced_us + quarantine->options.stale_us;
+               quarantine->synced_us + quarantine->options.stale_after_us;
 }
 
 static void
-wait_for_store(struct pgw_quarantine_decision *out,
-               struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
+add_waiter(struct pgw_quarantine_decision *out,
+           struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
 {
     struct pgw_suspect_waiter *waiter = g_new0(struct pgw_suspect_waiter, 1);
 
     waiter->ticket = out->ticket;
-    waiter->stale = is_stale(quarantine);
-    waiter->until_us = quarantine->now_us + quarantine->options.patience_us;
+    waiter->sync_was_stale = sync_is_stale(quarantine);
+    waiter->deadline_us =
+        quarantine->now_us + quarantine->options.permit_timeout_us;
     pgw_list_append(&suspect->waiters, &waiter->link);
     out->action = PGW_QUARANTINE_PENDING;
 }
@@ -184,18 +187,20 @@
     uint32_t crashes = 0;
 
     *out = (struct pgw_quarantine_decision){.ticket = ticket};
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     /*
-     * Failure: a process wakes from a long pause and takes a request before
-     * it hears of the records made meanwhile. Symptom: a third upstream
-     * crashes. A copy that may be old is not trusted, the store is asked.
+     * Failure: a process resumes after a long pause and admits a request
+     * before it receives the records written meanwhile. Symptom: a third
+     * upstream crashes. When the local copy may be out of date, the request
+     * waits for a read of the store.
      */
-    check = check || is_stale(quarantine);
+    check = check || sync_is_stale(quarantine);
 #ifdef PGW_DISABLE_QUARANTINE_CHECK
     check = false;
 #endif
     if (suspect != NULL) {
-        crashes = pgw_suspect__effective(quarantine, suspect).crash_count;
+        crashes =
+            pgw_suspect__effective_record(quarantine, suspect).crash_count;
     }
     if (crashes == 0 && !check) {
         out->action = PGW_QUARANTINE_RUN;
@@ -207,26 +212,27 @@
     }
 #ifndef PGW_DISABLE_QUARANTINE_LIMIT
     if (crashes >= PGW_QUARANTINE_CRASHES) {
-        refuse(out, PGW_REFUSAL_QUARANTINED);
+        set_refusal(out, PGW_REFUSAL_QUARANTINED);
         return;
     }
 #endif
     suspect = pgw_quarantine__find_or_add(quarantine, fingerprint);
     if (suspect == NULL) {
-        refuse(out, PGW_REFUSAL_OVERLOADED);
+        set_refusal(out, PGW_REFUSAL_OVERLOADED);
         return;
     }
     /*
-     * Failure: an earlier attempt ended unknown, perhaps by a crash that this
-     * process has not heard of. Symptom: a third upstream crashes. The store
-     * has the crash before the attempt's end was told, so asking it is enough.
+     * Failure: an earlier attempt ended with an unknown outcome, perhaps by a
+     * crash whose record has not reached this process. Symptom: a third
+     * upstream crashes. The crash is stored before the attempt's end is
+     * reported, so reading the store is enough.
      */
-    suspect->read_wanted = suspect->read_wanted || !suspect->present;
-    wait_for_store(out, quarantine, suspect);
+    suspect->needs_read = suspect->needs_read || !suspect->is_stored;
+    add_waiter(out, quarantine, suspect);
 }
 
 static void
-remove_ticket(struct pgw_list *head, uint64_t ticket)
+remove_from_list(struct pgw_list *head, uint64_t ticket)
 {
     pgw_list_foreach_safe (link, head) {
         struct pgw_suspect_waiter *entry =
@@ -239,40 +245,42 @@
     }
 }
 
-/* The ticket neither waits nor runs any more; true: it held the permit. */
+/* Removes a ticket from the waiters and the runs. Return: whether it held the
+ * permit. */
 static bool
-end_ticket(struct pgw_suspect *suspect, uint64_t ticket)
+remove_ticket(struct pgw_suspect *suspect, uint64_t ticket)
 {
-    bool held = ticket != 0 && suspect->runner == ticket;
+    bool had_permit = ticket != 0 && suspect->permit_ticket == ticket;
 
-    if (held) {
-        suspect->runner = 0;
-        suspect->running = false;
+    if (had_permit) {
+        suspect->permit_ticket = 0;
+        suspect->permit_is_granted = false;
     }
-    remove_ticket(&suspect->waiters, ticket);
-    remove_ticket(&suspect->runs, ticket);
-    return held;
+    remove_from_list(&suspect->waiters, ticket);
+    remove_from_list(&suspect->unpermitted_runs, ticket);
+    return had_permit;
 }
 
 void
-pgw_quarantine_crash(struct pgw_quarantine *quarantine,
-                     const struct pgw_fingerprint *fingerprint,
-                     uint64_t ticket, uint64_t crash, uint64_t now_us)
+pgw_quarantine_report_crash(struct pgw_quarantine *quarantine,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t ticket, uint64_t crash, uint64_t now_us)
 {
     struct pgw_suspect *suspect;
     struct pgw_suspect_crash *entry;
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     suspect = pgw_quarantine__find_or_add(quarantine, fingerprint);
     if (suspect == NULL) {
         return;
     }
-    end_ticket(suspect, ticket);
-    suspect->cleared = false;
+    remove_ticket(suspect, ticket);
+    suspect->needs_delete = false;
     entry = g_new0(struct pgw_suspect_crash, 1);
     entry->ticket = ticket;
-    entry->crash = crash;
-    entry->patience_us = quarantine->now_us + quarantine->options.record_us;
+    entry->crash_id = crash;
+    entry->record_deadline_us =
+        quarantine->now_us + quarantine->options.record_timeout_us;
     pgw_list_append(&suspect->crashes, &entry->link);
 }
 
@@ -280,7 +288,7 @@
 is_pending_crash(const struct pgw_suspect *suspect, uint64_t crash)
 {
     pgw_list_foreach (link, &suspect->crashes) {
-        if (pgw_container_of(link, struct pgw_suspect_crash, link)->crash ==
+        if (pgw_container_of(link, struct pgw_suspect_crash, link)->crash_id ==
             crash) {
             return true;
         }
@@ -289,45 +297,46 @@
 }
 
 void
-pgw_quarantine_hear(struct pgw_quarantine *quarantine,
-                    const struct pgw_fingerprint *fingerprint,
-                    const char *value, size_t length, uint64_t now_us)
+pgw_quarantine_apply_unrecorded(struct pgw_quarantine *quarantine,
+                                const struct pgw_fingerprint *fingerprint,
+                                const char *value, size_t length,
+                                uint64_t now_us)
 {
     struct pgw_quarantine_record record;
     struct pgw_suspect *suspect;
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     if (!pgw_quarantine_record_parse(&record, value, length, NULL)) {
         return;
     }
     for (uint32_t i = 0; i < record.crash_count; i++) {
         suspect = pgw_quarantine__find(quarantine, fingerprint);
         if (suspect == NULL || !is_pending_crash(suspect, record.crashes[i])) {
-            pgw_quarantine_crash(quarantine, fingerprint, 0, record.crashes[i],
-                                 now_us);
+            pgw_quarantine_report_crash(quarantine, fingerprint, 0,
+                                        record.crashes[i], now_us);
         }
     }
     suspect = pgw_quarantine__find(quarantine, fingerprint);
     if (suspect != NULL) {
-        pgw_suspect__settle(quarantine, suspect);
+        pgw_suspect__resolve_pending(quarantine, suspect);
     }
 }
 
 void
-pgw_quarantine_success(struct pgw_quarantine *quarantine,
-                       const struct pgw_fingerprint *fingerprint,
-                       uint64_t ticket, uint64_t now_us)
+pgw_quarantine_report_success(struct pgw_quarantine *quarantine,
+                              const struct pgw_fingerprint *fingerprint,
+                              uint64_t ticket, uint64_t now_us)
 {
     struct pgw_suspect *suspect =
         pgw_quarantine__find(quarantine, fingerprint);
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     if (suspect == NULL) {
         return;
     }
-    if (end_ticket(suspect, ticket) || suspect->record.run_owner == 0) {
-        suspect->cleared =
-            suspect->present && pgw_list_is_empty(&suspect->crashes);
+    if (remove_ticket(suspect, ticket) || suspect->record.run_owner == 0) {
+        suspect->needs_delete =
+            suspect->is_stored && pgw_list_is_empty(&suspect->crashes);
     }
     pgw_quarantine__drop_if_idle(quarantine, suspect);
 }
@@ -340,11 +349,11 @@
     struct pgw_suspect *suspect =
         pgw_quarantine__find(quarantine, fingerprint);
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     if (suspect == NULL) {
         return;
     }
-    end_ticket(suspect, ticket);
+    remove_ticket(suspect, ticket);
     pgw_quarantine__drop_if_idle(quarantine, suspect);
 }
 
--- a/src/libparsleygw/quarantine_io.c
+++ b/src/libparsleygw/quarantine_io.c
@@ -3,12 +3,12 @@
 #include <string.h>
 
 static void
-adopt(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
-      uint64_t version, const char *value, size_t length)
+apply_value(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
+            uint64_t version, const char *value, size_t length)
 {
     struct pgw_quarantine_record record = {0};
 
-    /* The store may answer with an older version than it gave before. */
+    /* A read may return an older version than an earlier one. */
     if (version < suspect->version) {
         suspect->retry_us =
             quarantine->now_us + quarantine->options.backoff_us;
@@ -19,15 +19,15 @@
     }
     if (value != NULL &&
         !pgw_quarantine_record_parse(&record, value, length, NULL)) {
-        suspect->read_wanted = true;
-        pgw_suspect__store_failed(quarantine, suspect);
+        suspect->needs_read = true;
+        pgw_suspect__handle_store_failure(quarantine, suspect);
         return;
     }
     suspect->version = version;
-    suspect->present = value != NULL;
-    suspect->read_wanted = false;
+    suspect->is_stored = value != NULL;
+    suspect->needs_read = false;
     suspect->record = record;
-    pgw_suspect__settle(quarantine, suspect);
+    pgw_suspect__resolve_pending(quarantine, suspect);
 }
 
 void
@@ -38,12 +38,12 @@
 {
     struct pgw_suspect *suspect;
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     suspect = value != NULL
                   ? pgw_quarantine__find_or_add(quarantine, fingerprint)
                   : pgw_quarantine__find(quarantine, fingerprint);
     if (suspect != NULL) {
-        adopt(quarantine, suspect, version, value, length);
+        apply_value(quarantine, suspect, version, value, length);
         pgw_quarantine__drop_if_idle(quarantine, suspect);
     }
 }
@@ -59,103 +59,109 @@
 }
 
 static void
-draft_run(const struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
-          struct pgw_list *link)
+draft_permit(const struct pgw_quarantine *quarantine,
+             struct pgw_suspect *suspect, struct pgw_list *link)
 {
     struct pgw_quarantine_record *draft = &suspect->draft;
 
-    suspect->runner =
+    suspect->permit_ticket =
         pgw_container_of(link, struct pgw_suspect_waiter, link)->ticket;
     draft->run_owner = quarantine->options.owner;
-    draft->run_permit = pgw_suspect__permit(quarantine, suspect->runner);
-    draft->run_until_us = quarantine->now_us + quarantine->options.run_us;
+    draft->run_permit =
+        pgw_suspect__permit_number(quarantine, suspect->permit_ticket);
+    draft->run_until_us =
+        quarantine->now_us + quarantine->options.permit_lease_us;
 }
 
 static bool
-must_renew(const struct pgw_quarantine *quarantine,
-           const struct pgw_suspect *suspect)
+permit_needs_renewal(const struct pgw_quarantine *quarantine,
+                     const struct pgw_suspect *suspect)
 {
-    return suspect->running && suspect->present &&
+    return suspect->permit_is_granted && suspect->is_stored &&
            suspect->record.run_owner == quarantine->options.owner &&
-           quarantine->now_us + quarantine->options.run_us / 2 >=
+           quarantine->now_us + quarantine->options.permit_lease_us / 2 >=
                suspect->record.run_until_us;
 }
 
-/* From when on a permit may be given to a request that waits. */
+/* Earliest time at which a waiting request may get the permit. */
 static uint64_t
-permit_time(const struct pgw_quarantine *quarantine,
-            const struct pgw_suspect *suspect)
+earliest_grant_us(const struct pgw_quarantine *quarantine,
+                  const struct pgw_suspect *suspect)
 {
 #ifdef PGW_DISABLE_QUARANTINE_SPREAD
     return 0;
 #else
-    return suspect->record.changed_us + quarantine->options.spread_us;
+    return suspect->record.changed_us + quarantine->options.propagation_us;
 #endif
 }
 
-/* The value that the store should hold, and who is to get the permit. */
+/* Computes the record that the store should hold, with the permit's next
+ * holder. */
 static void
 make_draft(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
 {
     struct pgw_quarantine_record *draft = &suspect->draft;
     struct pgw_list *first = pgw_list_first(&suspect->waiters);
-    struct pgw_list *run = pgw_list_first(&suspect->runs);
+    struct pgw_list *run = pgw_list_first(&suspect->unpermitted_runs);
 
-    *draft = pgw_suspect__effective(quarantine, suspect);
-    if (must_renew(quarantine, suspect) && draft->run_owner != 0) {
-        draft->run_until_us = quarantine->now_us + quarantine->options.run_us;
+    *draft = pgw_suspect__effective_record(quarantine, suspect);
+    if (permit_needs_renewal(quarantine, suspect) && draft->run_owner != 0) {
+        draft->run_until_us =
+            quarantine->now_us + quarantine->options.permit_lease_us;
     }
-    if (suspect->running || draft->run_owner != 0 ||
+    if (suspect->permit_is_granted || draft->run_owner != 0 ||
         draft->crash_count != PGW_QUARANTINE_CRASHES - 1) {
         return;
     }
     /*
-     * Failure: two copies run when the first crashes its upstream. Symptom:
-     * the first is sent again, crashes a second one, and the copy a third. A
-     * copy that runs already takes the permit as soon as its process hears of
-     * the record, and nobody else gets it before all had time to hear.
+     * Failure: two copies of a request run when the first crashes its
+     * upstream. Symptom: the first is resent and crashes a second upstream,
+     * and the other copy crashes a third. A copy that already runs takes the
+     * permit as soon as its process receives the record, and no waiting
+     * request gets the permit before the record had time to reach all
+     * processes.
      */
     if (run != NULL) {
-        draft_run(quarantine, suspect, run);
+        draft_permit(quarantine, suspect, run);
     }
     else if (first != NULL &&
-             quarantine->now_us >= permit_time(quarantine, suspect)) {
-        draft_run(quarantine, suspect, first);
+             quarantine->now_us >= earliest_grant_us(quarantine, suspect)) {
+        draft_permit(quarantine, suspect, first);
     }
 }
 
 static bool
-take_io(struct pgw_io *out, struct pgw_quarantine *quarantine,
-        struct pgw_suspect *suspect)
+prepare_io(struct pgw_io *out, struct pgw_quarantine *quarantine,
+           struct pgw_suspect *suspect)
 {
     bool waits = !pgw_list_is_empty(&suspect->waiters);
 
-    if (suspect->read_wanted) {
+    if (suspect->needs_read) {
         out->kind = PGW_IO_READ;
         return true;
     }
     make_draft(quarantine, suspect);
-    out->expected_version = suspect->present ? suspect->version : 0;
-    if (suspect->cleared && suspect->present &&
+    out->expected_version = suspect->is_stored ? suspect->version : 0;
+    if (suspect->needs_delete && suspect->is_stored &&
         suspect->draft.crash_count < PGW_QUARANTINE_CRASHES) {
         out->kind = PGW_IO_DELETE;
         return true;
     }
     if (suspect->draft.crash_count > 0 &&
-        (!suspect->present ||
+        (!suspect->is_stored ||
          records_differ(&suspect->draft, &suspect->record))) {
         out->kind = PGW_IO_WRITE;
         out->value = pgw_quarantine_record_print(&suspect->draft);
         out->length = strlen(out->value);
         return true;
     }
-    suspect->cleared = false;
-    if (waits && quarantine->now_us < permit_time(quarantine, suspect)) {
-        suspect->retry_us = permit_time(quarantine, suspect);
+    suspect->needs_delete = false;
+    if (waits && quarantine->now_us < earliest_grant_us(quarantine, suspect)) {
+        suspect->retry_us = earliest_grant_us(quarantine, suspect);
         return false;
     }
     if (waits) {
-        /* Another process holds the permit: look again after a while. */
+        /* Another process holds the permit: poll the record. */
         out->kind = PGW_IO_READ;
         suspect->retry_us = quarantine->now_us + quarantine->options.poll_us;
     }
@@ -163,34 +169,39 @@
 }
 
 static bool
-has_new_crash(const struct pgw_suspect *suspect)
+has_unrecorded_crash(const struct pgw_suspect *suspect)
 {
     pgw_list_foreach (link, &suspect->crashes) {
-        if (!pgw_container_of(link, struct pgw_suspect_crash, link)->stands) {
+        if (!pgw_container_of(link, struct pgw_suspect_crash, link)
+                 ->is_recorded) {
             return true;
         }
     }
     return false;
 }
 
-/* A run from before the suspicion that should hold the permit. */
+/* Whether a run that began before the request became a suspect should take the
+ * permit. */
 static bool
-has_bare_run(const struct pgw_suspect *suspect)
+has_run_without_permit(const struct pgw_suspect *suspect)
 {
-    return !pgw_list_is_empty(&suspect->runs) && suspect->present &&
-           !suspect->running && suspect->record.run_owner == 0 &&
+    return !pgw_list_is_empty(&suspect->unpermitted_runs) &&
+           suspect->is_stored && !suspect->permit_is_granted &&
+           suspect->record.run_owner == 0 &&
            suspect->record.crash_count == PGW_QUARANTINE_CRASHES - 1;
 }
 
-/* Only a process with something to do writes; the others just know. */
+/* Whether this process needs a store operation; all other processes only keep
+ * a copy of the record. */
 static bool
 has_work(const struct pgw_quarantine *quarantine,
          const struct pgw_suspect *suspect)
 {
-    return suspect->read_wanted || suspect->cleared ||
-           !pgw_list_is_empty(&suspect->waiters) || has_new_crash(suspect) ||
-           has_bare_run(suspect) || must_renew(quarantine, suspect) ||
-           (suspect->present && suspect->runner == 0 &&
+    return suspect->needs_read || suspect->needs_delete ||
+           !pgw_list_is_empty(&suspect->waiters) ||
+           has_unrecorded_crash(suspect) || has_run_without_permit(suspect) ||
+           permit_needs_renewal(quarantine, suspect) ||
+           (suspect->is_stored && suspect->permit_ticket == 0 &&
             suspect->record.run_owner == quarantine->options.owner);
 }
 
@@ -202,21 +213,21 @@
     gpointer value;
 
     *out = (struct pgw_io){.kind = PGW_IO_NONE};
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     g_hash_table_iter_init(&iter, quarantine->suspects);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pgw_suspect *suspect = value;
 
-        pgw_suspect__tell(quarantine, suspect);
+        pgw_suspect__queue_due_decisions(quarantine, suspect);
         if (pgw_suspect__is_idle(suspect)) {
             g_hash_table_iter_remove(&iter);
             continue;
         }
-        if (suspect->outstanding == PGW_IO_NONE &&
+        if (suspect->outstanding_io == PGW_IO_NONE &&
             quarantine->now_us >= suspect->retry_us &&
             has_work(quarantine, suspect) &&
-            take_io(out, quarantine, suspect)) {
-            suspect->outstanding = out->kind;
+            prepare_io(out, quarantine, suspect)) {
+            suspect->outstanding_io = out->kind;
             *fingerprint = suspect->fingerprint;
             return true;
         }
@@ -225,40 +236,41 @@
 }
 
 static void
-store_failed(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
+handle_store_failure(struct pgw_quarantine *quarantine,
+                     struct pgw_suspect *suspect)
 {
     suspect->retry_us = quarantine->now_us + quarantine->options.backoff_us;
-    pgw_suspect__store_failed(quarantine, suspect);
+    pgw_suspect__handle_store_failure(quarantine, suspect);
 }
 
 static void
-written(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
-        enum pgw_io_kind kind, uint64_t version)
+handle_written(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
+               enum pgw_io_kind kind, uint64_t version)
 {
-    suspect->present = kind == PGW_IO_WRITE;
+    suspect->is_stored = kind == PGW_IO_WRITE;
     suspect->version = MAX(version, suspect->version);
-    suspect->record =
-        suspect->present ? suspect->draft : (struct pgw_quarantine_record){0};
-    pgw_suspect__settle(quarantine, suspect);
+    suspect->record = suspect->is_stored ? suspect->draft
+                                         : (struct pgw_quarantine_record){0};
+    pgw_suspect__resolve_pending(quarantine, suspect);
 }
 
 static void
-conflicted(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
-           const struct pgw_io_reply *reply)
+handle_conflict(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect,
+                const struct pgw_io_reply *reply)
 {
-    suspect->read_wanted = true;
+    suspect->needs_read = true;
     if (reply->value != NULL) {
-        adopt(quarantine, suspect, reply->version, reply->value,
-              reply->length);
+        apply_value(quarantine, suspect, reply->version, reply->value,
+                    reply->length);
     }
 }
 
 static void
-missing(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
+handle_missing(struct pgw_quarantine *quarantine, struct pgw_suspect *suspect)
 {
-    suspect->present = false;
-    suspect->read_wanted = false;
-    pgw_suspect__settle(quarantine, suspect);
+    suspect->is_stored = false;
+    suspect->needs_read = false;
+    pgw_suspect__resolve_pending(quarantine, suspect);
 }
 
 void
@@ -270,33 +282,34 @@
         pgw_quarantine__find(quarantine, fingerprint);
     enum pgw_io_kind kind;
 
-    pgw_quarantine__advance(quarantine, now_us);
+    pgw_quarantine__advance_time(quarantine, now_us);
     if (suspect == NULL) {
         return;
     }
-    kind = suspect->outstanding;
-    suspect->outstanding = PGW_IO_NONE;
+    kind = suspect->outstanding_io;
+    suspect->outstanding_io = PGW_IO_NONE;
     switch (reply->result) {
     case PGW_IO_OK:
         if (kind == PGW_IO_READ) {
-            adopt(quarantine, suspect, reply->version, reply->value,
-                  reply->length);
+            apply_value(quarantine, suspect, reply->version, reply->value,
+                        reply->length);
         }
         else {
-            written(quarantine, suspect, kind, reply->version);
+            handle_written(quarantine, suspect, kind, reply->version);
         }
         break;
     case PGW_IO_MISSING:
-        missing(quarantine, suspect);
+        handle_missing(quarantine, suspect);
         break;
     case PGW_IO_CONFLICT:
-        conflicted(quarantine, suspect, reply);
+        handle_conflict(quarantine, suspect, reply);
         break;
     case PGW_IO_UNKNOWN:
-        /* What stands is read back: it names the permit and the crashes. */
-        suspect->read_wanted = true;
+        /* The write may have taken effect. Reading the record back shows
+         * whether it has, by the permit and the crashes. */
+        suspect->needs_read = true;
         if (kind == PGW_IO_READ) {
-            store_failed(quarantine, suspect);
+            handle_store_failure(quarantine, suspect);
         }
         break;
     case PGW_IO_THROTTLED:
@@ -304,14 +317,14 @@
             quarantine->now_us + quarantine->options.backoff_us;
         break;
     case PGW_IO_UNAVAILABLE:
-        store_failed(quarantine, suspect);
+        handle_store_failure(quarantine, suspect);
         break;
     }
     pgw_quarantine__drop_if_idle(quarantine, suspect);
 }
 
 static uint64_t
-next_tell(const struct pgw_suspect *suspect)
+next_deadline_us(const struct pgw_suspect *suspect)
 {
     uint64_t next = UINT64_MAX;
 
@@ -320,14 +333,14 @@
             pgw_container_of(link, struct pgw_suspect_crash, link);
 
         if (crash->ticket != 0) {
-            next =
-                MIN(next, crash->stands ? crash->told_us : crash->patience_us);
+            next = MIN(next, crash->is_recorded ? crash->answer_due_us
+                                                : crash->record_deadline_us);
         }
     }
     pgw_list_foreach (waiting, &suspect->waiters) {
         next = MIN(next,
                    pgw_container_of(waiting, struct pgw_suspect_waiter, link)
-                       ->until_us);
+                       ->deadline_us);
     }
     return next;
 }
@@ -343,14 +356,14 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct pgw_suspect *suspect = value;
 
-        next = MIN(next, next_tell(suspect));
-        if (suspect->outstanding == PGW_IO_NONE &&
+        next = MIN(next, next_deadline_us(suspect));
+        if (suspect->outstanding_io == PGW_IO_NONE &&
             has_work(quarantine, suspect)) {
             next = MIN(next, suspect->retry_us);
         }
-        else if (suspect->running && suspect->present) {
+        else if (suspect->permit_is_granted && suspect->is_stored) {
             next = MIN(next, suspect->record.run_until_us -
-                                 quarantine->options.run_us / 2);
+                                 quarantine->options.permit_lease_us / 2);
         }
     }
     return next;
--- a/src/libparsleygw/quarantine_record.c
+++ b/src/libparsleygw/quarantine_record.c
@@ -31,7 +31,7 @@
 {
     guint hash;
 
-    /* Already evenly spread: it is a digest. */
+    /* A fingerprint is a digest: any part of it is evenly distributed. */
     memcpy(&hash, key, sizeof(hash));
     return hash;
 }
@@ -113,7 +113,7 @@
 {
     JsonParser *parser = json_parser_new_immutable();
     JsonNode *root = NULL;
-    bool good = false;
+    bool ok = false;
 
     memset(out, 0, sizeof(*out));
     if (json_parser_load_from_data(parser, json, (gssize)length, NULL)) {
@@ -122,19 +122,19 @@
     if (root != NULL && JSON_NODE_HOLDS_OBJECT(root)) {
         JsonObject *object = json_node_get_object(root);
 
-        good = parse_members(out, object);
+        ok = parse_members(out, object);
         out->changed_us = (uint64_t)json_object_get_int_member_with_default(
             object, "changed_us", 0);
         out->run_until_us = (uint64_t)json_object_get_int_member_with_default(
             object, "run_until_us", 0);
     }
-    if (!good) {
+    if (!ok) {
         g_set_error_literal(error, PGW_ERROR, PGW_ERROR_INVALID,
                             "quarantine record is malformed; delete the "
-                            "object to lift it");
+                            "object to lift the quarantine");
     }
     g_object_unref(parser);
-    return good;
+    return ok;
 }
 
 char *
@@ -161,8 +161,8 @@
 }
 
 bool
-pgw_quarantine_record_has(const struct pgw_quarantine_record *record,
-                          uint64_t crash)
+pgw_quarantine_record_has_crash(const struct pgw_quarantine_record *record,
+                                uint64_t crash)
 {
     for (uint32_t i = 0; i < record->crash_count; i++) {
         if (record->crashes[i] == crash) {
--- a/src/libparsleygw/suspects.c
+++ b/src/libparsleygw/suspects.c
@@ -1,26 +1,27 @@
 #include "libparsleygw/suspects.h"
 #include "util/log.h"
 
-#define SWEEP_US UINT64_C(60000000)
+#define SWEEP_INTERVAL_US UINT64_C(60000000)
 
 struct suspect {
-    struct pgw_list link; /* oldest change first */
+    struct pgw_list link;
     struct pgw_fingerprint fingerprint;
     char name[PGW_FINGERPRINT_HEX];
     uint64_t version;
     char *value; /* NULL: lifted */
     size_t length;
-    struct pgw_quarantine_record record; /* stays when it was lifted */
+    struct pgw_quarantine_record record; /* kept after a lift, see
+                                            merge_unrecorded() */
     uint64_t changed_us;
-    bool unrecorded; /* @value may not stand in the store yet */
+    bool unrecorded; /* @value may not be stored yet */
 };
 
 struct pgw_suspects {
     struct pgw_suspects_options options;
     GPtrArray *links;
-    GHashTable *table; /* struct suspect by name */
-    struct pgw_list order;
-    size_t in_force;
+    GHashTable *table;         /* struct suspect by name */
+    struct pgw_list by_change; /* oldest change first */
+    size_t in_force_count;
     uint64_t version;
     struct pgw_timer sweep;
 };
@@ -29,29 +30,29 @@
 suspect_remove(struct pgw_suspects *suspects, struct suspect *suspect)
 {
     pgw_list_remove(&suspect->link);
-    suspects->in_force -= suspect->value != NULL;
+    suspects->in_force_count -= suspect->value != NULL;
     g_hash_table_remove(suspects->table, suspect->name);
     g_free(suspect->value);
     g_free(suspect);
 }
 
 static void
-sweep_due(struct pgw_timer *timer)
+remove_expired(struct pgw_timer *timer)
 {
     struct pgw_suspects *suspects =
         pgw_container_of(timer, struct pgw_suspects, sweep);
     uint64_t now = pgw_now_us();
 
-    pgw_list_foreach_safe (link, &suspects->order) {
+    pgw_list_foreach_safe (link, &suspects->by_change) {
         struct suspect *suspect = pgw_container_of(link, struct suspect, link);
 
-        if (now - suspect->changed_us < suspects->options.keep_us &&
+        if (now - suspect->changed_us < suspects->options.retention_us &&
             g_hash_table_size(suspects->table) <= suspects->options.limit) {
             break;
         }
         suspect_remove(suspects, suspect);
     }
-    pgw_timer_start(suspects->options.loop, timer, SWEEP_US);
+    pgw_timer_start(suspects->options.loop, timer, SWEEP_INTERVAL_US);
 }
 
 struct pgw_suspects *
@@ -62,9 +63,9 @@
     suspects->options = *options;
     suspects->links = g_ptr_array_new();
     suspects->table = g_hash_table_new(g_str_hash, g_str_equal);
-    pgw_list_init(&suspects->order);
-    suspects->sweep.on_due = sweep_due;
-    pgw_timer_start(options->loop, &suspects->sweep, SWEEP_US);
+    pgw_list_init(&suspects->by_change);
+    suspects->sweep.on_due = remove_expired;
+    pgw_timer_start(options->loop, &suspects->sweep, SWEEP_INTERVAL_US);
     return suspects;
 }
 
@@ -75,7 +76,7 @@
         return;
     }
     pgw_timer_stop(suspects->options.loop, &suspects->sweep);
-    pgw_list_foreach_safe (link, &suspects->order) {
+    pgw_list_foreach_safe (link, &suspects->by_change) {
         suspect_remove(suspects, pgw_container_of(link, struct suspect, link));
     }
     g_hash_table_unref(suspects->table);
@@ -84,7 +85,7 @@
 }
 
 static void
-send_one(struct pgw_link *link, const struct suspect *suspect)
+send_record(struct pgw_link *link, const struct suspect *suspect)
 {
     Pgw__Objects message = PGW__OBJECTS__INIT;
     Pgw__Object object = PGW__OBJECT__INIT;
@@ -105,8 +106,8 @@
 pgw_suspects_add_link(struct pgw_suspects *suspects, struct pgw_link *link)
 {
     g_ptr_array_add(suspects->links, link);
-    pgw_list_foreach (at, &suspects->order) {
-        send_one(link, pgw_container_of(at, struct suspect, link));
+    pgw_list_foreach (position, &suspects->by_change) {
+        send_record(link, pgw_container_of(position, struct suspect, link));
     }
 }
 
@@ -117,8 +118,8 @@
 }
 
 static struct suspect *
-suspect_get(struct pgw_suspects *suspects,
-            const struct pgw_fingerprint *fingerprint)
+suspect_find_or_add(struct pgw_suspects *suspects,
+                    const struct pgw_fingerprint *fingerprint)
 {
     char name[PGW_FINGERPRINT_HEX];
     struct suspect *suspect;
@@ -132,7 +133,7 @@
     suspect->fingerprint = *fingerprint;
     memcpy(suspect->name, name, sizeof(name));
     g_hash_table_insert(suspects->table, suspect->name, suspect);
-    pgw_list_append(&suspects->order, &suspect->link);
+    pgw_list_append(&suspects->by_change, &suspect->link);
     if (g_hash_table_size(suspects->table) > suspects->options.limit) {
         pgw_timer_start(suspects->options.loop, &suspects->sweep, 0);
     }
@@ -143,18 +144,18 @@
 set_value(struct pgw_suspects *suspects, struct suspect *suspect,
           const char *value, size_t length)
 {
-    suspects->in_force += (value != NULL) - (suspect->value != NULL);
+    suspects->in_force_count += (value != NULL) - (suspect->value != NULL);
     g_free(suspect->value);
     suspect->value = value == NULL ? NULL : g_strndup(value, length);
     suspect->length = length;
     suspect->changed_us = pgw_now_us();
     pgw_list_remove(&suspect->link);
-    pgw_list_append(&suspects->order, &suspect->link);
+    pgw_list_append(&suspects->by_change, &suspect->link);
 }
 
 static bool
-suspect_set(struct pgw_suspects *suspects, struct suspect *suspect,
-            uint64_t version, const char *value, size_t length)
+suspect_set_version(struct pgw_suspects *suspects, struct suspect *suspect,
+                    uint64_t version, const char *value, size_t length)
 {
     struct pgw_quarantine_record record = {0};
     GError *error = NULL;
@@ -181,16 +182,17 @@
 
 static void
 publish(struct pgw_suspects *suspects, const struct suspect *suspect,
-        bool tell)
+        bool send_to_links)
 {
     /*
-     * To all links: the record must reach every entry before the caller of
-     * the refused request can come back. Who hears it does not pass it on:
-     * the sidecar that wrote or watched it is linked to every entry of its
-     * region, and copies of copies would be most of what a link carries.
+     * The record goes to all links: it must reach every entry before the
+     * caller of the refused request can resend it. A receiver does not forward
+     * it: the sidecar that wrote or watched the record is linked to every
+     * entry of its region, and forwarded copies would be most of a link's
+     * traffic.
      */
-    for (guint i = 0; tell && i < suspects->links->len; i++) {
-        send_one(g_ptr_array_index(suspects->links, i), suspect);
+    for (guint i = 0; send_to_links && i < suspects->links->len; i++) {
+        send_record(g_ptr_array_index(suspects->links, i), suspect);
     }
     if (suspects->options.on_record != NULL) {
         suspects->options.on_record(suspects->options.context,
@@ -201,15 +203,17 @@
 }
 
 static void
-change(struct pgw_suspects *suspects, struct suspect *suspect,
-       uint64_t version, const char *value, size_t length, bool tell)
+apply_version(struct pgw_suspects *suspects, struct suspect *suspect,
+              uint64_t version, const char *value, size_t length,
+              bool send_to_links)
 {
-    if (suspect_set(suspects, suspect, version, value, length)) {
-        publish(suspects, suspect, tell);
+    if (suspect_set_version(suspects, suspect, version, value, length)) {
+        publish(suspects, suspect, send_to_links);
     }
 }
 
-/* The crashes of @more that @record lacks; true when there are any. */
+/* Adds the crashes of @more that @record lacks. Return: whether there are any,
+ * even if the record is full. */
 static bool
 add_crashes(struct pgw_quarantine_record *record,
             const struct pgw_quarantine_record *more)
@@ -217,7 +221,7 @@
     bool added = false;
 
     for (uint32_t i = 0; i < more->crash_count; i++) {
-        if (!pgw_quarantine_record_has(record, more->crashes[i])) {
+        if (!pgw_quarantine_record_has_crash(record, more->crashes[i])) {
             added = true;
             if (record->crash_count < PGW_QUARANTINE_CRASHES) {
                 record->crashes[record->crash_count++] = more->crashes[i];
@@ -228,37 +232,38 @@
 }
 
 /*
- * Crashes that may not stand in the store. What stands there counts for more:
- * a record in force already keeps the request from running without the
- * store's permit. A lifted one is known by its crashes: an announcement that
- * names only these is late, any other is news.
+ * Merges crashes that may not be stored yet. A recorded version takes
+ * precedence: while it is in force, the request cannot run without a permit of
+ * the store. A lifted record keeps its crashes: an announcement with no other
+ * crash is outdated, one with another crash puts a new record in force.
  */
 static void
-hear(struct pgw_suspects *suspects, struct suspect *suspect,
-     const struct pgw_quarantine_record *heard, bool tell)
+merge_unrecorded(struct pgw_suspects *suspects, struct suspect *suspect,
+                 const struct pgw_quarantine_record *announced,
+                 bool send_to_links)
 {
     struct pgw_quarantine_record record = suspect->record;
     char *json;
 
     if ((suspect->value != NULL && !suspect->unrecorded) ||
-        !add_crashes(&record, heard)) {
+        !add_crashes(&record, announced)) {
         return;
     }
     if (suspect->value == NULL) {
-        record = *heard;
+        record = *announced;
     }
-    record.changed_us = heard->changed_us;
+    record.changed_us = announced->changed_us;
     json = pgw_quarantine_record_print(&record);
     suspect->record = record;
     suspect->unrecorded = true;
     set_value(suspects, suspect, json, strlen(json));
     g_free(json);
-    publish(suspects, suspect, tell);
+    publish(suspects, suspect, send_to_links);
 }
 
 static void
 merge(struct pgw_suspects *suspects, const char *name, uint64_t version,
-      const char *value, size_t length, bool tell)
+      const char *value, size_t length, bool send_to_links)
 {
     struct pgw_quarantine_record record;
     struct pgw_fingerprint fingerprint;
@@ -267,19 +272,20 @@
         return;
     }
     if (version > 0) {
-        change(suspects, suspect_get(suspects, &fingerprint), version, value,
-               length, tell);
+        apply_version(suspects, suspect_find_or_add(suspects, &fingerprint),
+                      version, value, length, send_to_links);
     }
     else if (value != NULL &&
              pgw_quarantine_record_parse(&record, value, length, NULL)) {
-        hear(suspects, suspect_get(suspects, &fingerprint), &record, tell);
+        merge_unrecorded(suspects, suspect_find_or_add(suspects, &fingerprint),
+                         &record, send_to_links);
     }
 }
 
 void
-pgw_suspects_announce(struct pgw_suspects *suspects,
-                      const struct pgw_fingerprint *fingerprint,
-                      uint64_t crash, uint64_t changed_us)
+pgw_suspects_announce_crash(struct pgw_suspects *suspects,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t crash, uint64_t changed_us)
 {
     struct pgw_quarantine_record record = {
         .crash_count = 1,
@@ -287,17 +293,18 @@
         .changed_us = changed_us,
     };
 
-    hear(suspects, suspect_get(suspects, fingerprint), &record, true);
+    merge_unrecorded(suspects, suspect_find_or_add(suspects, fingerprint),
+                     &record, true);
 }
 
 static struct suspect *
-find(const struct pgw_suspects *suspects,
-     const struct pgw_fingerprint *fingerprint)
+find_in_force(const struct pgw_suspects *suspects,
+              const struct pgw_fingerprint *fingerprint)
 {
     char name[PGW_FINGERPRINT_HEX];
     struct suspect *suspect;
 
-    if (suspects->in_force == 0) {
+    if (suspects->in_force_count == 0) {
         return NULL;
     }
     pgw_fingerprint_print(name, fingerprint);
@@ -306,23 +313,23 @@
 }
 
 void
-pgw_suspects_pass_on(const struct pgw_suspects *suspects,
-                     const struct pgw_fingerprint *fingerprint,
-                     struct pgw_link *link)
+pgw_suspects_send_unrecorded(const struct pgw_suspects *suspects,
+                             const struct pgw_fingerprint *fingerprint,
+                             struct pgw_link *link)
 {
-    const struct suspect *suspect = find(suspects, fingerprint);
+    const struct suspect *suspect = find_in_force(suspects, fingerprint);
 
     if (suspect != NULL && suspect->unrecorded) {
-        send_one(link, suspect);
+        send_record(link, suspect);
     }
 }
 
 void
-pgw_suspects_withdraw(struct pgw_suspects *suspects,
-                      const struct pgw_fingerprint *fingerprint,
-                      uint64_t crash)
+pgw_suspects_withdraw_crash(struct pgw_suspects *suspects,
+                            const struct pgw_fingerprint *fingerprint,
+                            uint64_t crash)
 {
-    struct suspect *suspect = find(suspects, fingerprint);
+    struct suspect *suspect = find_in_force(suspects, fingerprint);
 
     if (suspect != NULL && suspect->unrecorded &&
         suspect->record.crash_count == 1 &&
@@ -334,7 +341,7 @@
 }
 
 void
-pgw_suspects_offer(struct pgw_suspects *suspects, const char *name,
+pgw_suspects_apply(struct pgw_suspects *suspects, const char *name,
                    uint64_t version, const char *value, size_t length)
 {
     merge(suspects, name, version, value, length, true);
@@ -352,25 +359,25 @@
 }
 
 void
-pgw_suspects_retain(struct pgw_suspects *suspects,
-                    const struct pgw_store_list *list)
+pgw_suspects_apply_list(struct pgw_suspects *suspects,
+                        const struct pgw_store_list *list)
 {
-    pgw_list_foreach_safe (link, &suspects->order) {
+    pgw_list_foreach_safe (link, &suspects->by_change) {
         struct suspect *suspect = pgw_container_of(link, struct suspect, link);
 
-        /* A record written after the list was read is not in it, either, nor
-         * one that the store has not taken yet. */
+        /* The list also lacks records that were written after it was read, and
+         * records that are not stored yet. */
         if (suspect->value != NULL && !suspect->unrecorded &&
             suspect->version < list->version &&
             !list_has(list, suspect->name)) {
-            change(suspects, suspect, list->version, NULL, 0, true);
+            apply_version(suspects, suspect, list->version, NULL, 0, true);
         }
     }
 }
 
 void
-pgw_suspects_take_frame(struct pgw_suspects *suspects,
-                        const Pgw__Objects *message)
+pgw_suspects_handle_frame(struct pgw_suspects *suspects,
+                          const Pgw__Objects *message)
 {
     for (size_t i = 0; i < message->n_objects; i++) {
         const Pgw__Object *object = message->objects[i];
@@ -385,7 +392,7 @@
 pgw_suspects_find(const struct pgw_suspects *suspects,
                   const struct pgw_fingerprint *fingerprint, bool *recorded)
 {
-    const struct suspect *suspect = find(suspects, fingerprint);
+    const struct suspect *suspect = find_in_force(suspects, fingerprint);
 
     *recorded = suspect != NULL && !suspect->unrecorded;
     return suspect == NULL ? NULL : &suspect->record;
@@ -400,5 +407,5 @@
 size_t
 pgw_suspects_count(const struct pgw_suspects *suspects)
 {
-    return suspects->in_force;
+    return suspects->in_force_count;
 }
--- a/src/libparsleygw/suspects.h
+++ b/src/libparsleygw/suspects.h
@@ -6,103 +6,108 @@
 #include "parsleygw/store.h"
 
 /**
- * DOC: Quarantine records between our processes
+ * DOC: Distribution of quarantine records between processes
  *
- * Every process keeps the few records that are in force. A sidecar that
- * writes or watches a new one tells all its entries at once, so that a request
- * which crashed two engines is known everywhere before its caller can send it
- * again. Records live in the store; sidecars read there what they need.
+ * Every process keeps a copy of the few records in force. A sidecar that
+ * writes a record, or receives one from its watch, sends the record to all its
+ * entries at once. A request that crashed two engines is thus known everywhere
+ * before its caller can resend it. The store holds the records; sidecars read
+ * there what they need.
  *
- * A crash that the store may not have taken yet is told as version 0. Entries
- * keep it until a recorded version or a lift replaces it, and hand it to the
- * sidecar to which they send the request again: that one counts the crash
- * and writes it when the store answers.
+ * A crash that may not be stored yet is sent as version 0. Entries keep it
+ * until a recorded version or a lift replaces it, and send it to the sidecar
+ * to which they resend the request. That sidecar counts the crash and writes
+ * it as soon as the store is available.
  */
 
 struct pgw_suspects;
 
 /**
- * struct pgw_suspects_options - one process's copy
- * @loop: loop of all its links
- * @on_record: a record is new here; @value is NULL when it was lifted;
- *             @version is 0 when it may not stand in the store; may be NULL
- * @context: handed to @on_record
- * @keep_us: how long a record is kept after its last change
- * @limit: most records; the oldest go first
+ * struct pgw_suspects_options - options of one process's copy
+ * @loop: loop of all links
+ * @on_record: called with each new record; @value is NULL when the record was
+ *             lifted; @version is 0 when the record may not be stored yet;
+ *             may be NULL
+ * @context: passed to @on_record
+ * @retention_us: how long a record is kept after its last change
+ * @limit: maximum number of records; the least recently changed are dropped
  */
 struct pgw_suspects_options {
     struct pgw_loop *loop;
     void (*on_record)(void *context, const struct pgw_fingerprint *fingerprint,
                       uint64_t version, const char *value, size_t length);
     void *context;
-    uint64_t keep_us;
+    uint64_t retention_us;
     size_t limit;
 };
 
 #define PGW_SUSPECTS_OPTIONS_INIT                                             \
     {                                                                         \
-        .keep_us = 24ull * 3600 * G_USEC_PER_SEC, .limit = 4096               \
+        .retention_us = 24ull * 3600 * G_USEC_PER_SEC, .limit = 4096          \
     }
 
 struct pgw_suspects *
 pgw_suspects_new(const struct pgw_suspects_options *options);
 void pgw_suspects_free(struct pgw_suspects *suspects);
 
-/** pgw_suspects_add_link() - tell a new peer all records, then changes */
+/** pgw_suspects_add_link() - send all records to a new peer, then each change
+ */
 void pgw_suspects_add_link(struct pgw_suspects *suspects,
                            struct pgw_link *link);
 void pgw_suspects_remove_link(struct pgw_suspects *suspects,
                               struct pgw_link *link);
 
 /**
- * pgw_suspects_offer() - a record read from or written to the store
+ * pgw_suspects_apply() - apply a record read from or written to the store
  * @suspects: the copy
  * @name: the object's name
- * @version: its version; an older or equal one changes nothing
+ * @version: the object's version; an older or equal version changes nothing
  * @value: JSON, or NULL: deleted
  * @length: bytes of @value
  */
-void pgw_suspects_offer(struct pgw_suspects *suspects, const char *name,
+void pgw_suspects_apply(struct pgw_suspects *suspects, const char *name,
                         uint64_t version, const char *value, size_t length);
 
 /**
- * pgw_suspects_announce() - a crash that may not stand in the store yet
+ * pgw_suspects_announce_crash() - send a crash that may not be stored yet
  * @suspects: the copy
- * @fingerprint: of a request that ran there
+ * @fingerprint: of a request that ran on the engine
  * @crash: the engine's incarnation
- * @changed_us: when, microseconds since 1970
+ * @changed_us: time of the crash, microseconds since 1970
  *
- * Told to all links at once; changes nothing where a recorded version is in
- * force.
- */
-void pgw_suspects_announce(struct pgw_suspects *suspects,
-                           const struct pgw_fingerprint *fingerprint,
-                           uint64_t crash, uint64_t changed_us);
-
-/** pgw_suspects_pass_on() - tell a link what the store may not hold */
-void pgw_suspects_pass_on(const struct pgw_suspects *suspects,
-                          const struct pgw_fingerprint *fingerprint,
-                          struct pgw_link *link);
-
-/** pgw_suspects_withdraw() - an announced crash, the only one, is taken back
+ * The crash is sent to all links at once. It changes nothing where a recorded
+ * version is in force.
  */
-void pgw_suspects_withdraw(struct pgw_suspects *suspects,
-                           const struct pgw_fingerprint *fingerprint,
-                           uint64_t crash);
-
-/** pgw_suspects_retain() - what a whole list of the store misses was lifted */
-void pgw_suspects_retain(struct pgw_suspects *suspects,
-                         const struct pgw_store_list *list);
-
-/** pgw_suspects_take_frame() - handle a SUSPECTS frame of a link */
-void pgw_suspects_take_frame(struct pgw_suspects *suspects,
-                             const Pgw__Objects *message);
+void pgw_suspects_announce_crash(struct pgw_suspects *suspects,
+                                 const struct pgw_fingerprint *fingerprint,
+                                 uint64_t crash, uint64_t changed_us);
+
+/** pgw_suspects_send_unrecorded() - send a record to a link if it may not be
+ * stored yet */
+void pgw_suspects_send_unrecorded(const struct pgw_suspects *suspects,
+                                  const struct pgw_fingerprint *fingerprint,
+                                  struct pgw_link *link);
+
+/** pgw_suspects_withdraw_crash() - withdraw an announced crash if the record
+ * lists no other and is not stored */
+void pgw_suspects_withdraw_crash(struct pgw_suspects *suspects,
+                                 const struct pgw_fingerprint *fingerprint,
+                                 uint64_t crash);
+
+/** pgw_suspects_apply_list() - mark records that are missing in a complete
+ * list of the store as lifted */
+void pgw_suspects_apply_list(struct pgw_suspects *suspects,
+                             const struct pgw_store_list *list);
+
+/** pgw_suspects_handle_frame() - apply the records of a SUSPECTS frame */
+void pgw_suspects_handle_frame(struct pgw_suspects *suspects,
+                               const Pgw__Objects *message);
 
 /**
- * pgw_suspects_find() - the record of a fingerprint
+ * pgw_suspects_find() - find the record of a fingerprint
  * @suspects: the copy
  * @fingerprint: of the request
- * @recorded: receives whether it stands in the store
+ * @recorded: receives whether the record is stored
  *
  * Return: the record, NULL when there is none in force.
  */
--- a/src/sidecar/peer.c
+++ b/src/sidecar/peer.c
@@ -87,8 +87,8 @@
         gate_grant(peer, (const Pgw__Window *)message);
         break;
     case PGW_FRAME_SUSPECTS:
-        pgw_suspects_take_frame(peer->sidecar->suspects,
-                                (const Pgw__Objects *)message);
+        pgw_suspects_handle_frame(peer->sidecar->suspects,
+                                  (const Pgw__Objects *)message);
         break;
     default:
         if (!pgw_sync_take_frame(peer->sidecar->sync, link, type, message)) {
--- a/src/sidecar/suspicion.c
+++ b/src/sidecar/suspicion.c
@@ -47,9 +47,9 @@
     struct pgw_quarantine_options options = PGW_QUARANTINE_OPTIONS_INIT;
 
     options.owner = sidecar->incarnation;
-    options.spread_us = SPREAD_US;
-    options.patience_us = PATIENCE_US;
-    options.record_us = RECORD_US;
+    options.propagation_us = SPREAD_US;
+    options.permit_timeout_us = PATIENCE_US;
+    options.record_timeout_us = RECORD_US;
     suspicion->sidecar = sidecar;
     suspicion->machine = pgw_quarantine_new(&options);
     suspicion->copies = pgw_copies_new(COPIES_MAX);
@@ -84,7 +84,7 @@
         length = strlen(value);
     }
     if (value != NULL && reply->version != 0) {
-        pgw_suspects_offer(suspects, operation->name, reply->version, value,
+        pgw_suspects_apply(suspects, operation->name, reply->version, value,
                            length);
     }
 }
@@ -178,9 +178,9 @@
                      &run->key.request, run->key.attempt, incarnation, 0,
                      NULL);
     pgw_copies_doubt(suspicion->copies, &run->fingerprint);
-    pgw_quarantine_crash(suspicion->machine, &run->fingerprint,
-                         run->suspicion_ticket, incarnation,
-                         pgw_hlc_wall_us());
+    pgw_quarantine_report_crash(suspicion->machine, &run->fingerprint,
+                                run->suspicion_ticket, incarnation,
+                                pgw_hlc_wall_us());
 #ifndef PGW_DISABLE_QUARANTINE_ANNOUNCE
     /*
      * Failure: the store is down, so that no other process learns of the
@@ -189,8 +189,9 @@
      * and hand it to whichever sidecar they ask next, which then refuses it
      * until the store gives a permit.
      */
-    pgw_suspects_announce(suspicion->sidecar->suspects, &run->fingerprint,
-                          incarnation, pgw_hlc_wall_us());
+    pgw_suspects_announce_crash(suspicion->sidecar->suspects,
+                                &run->fingerprint, incarnation,
+                                pgw_hlc_wall_us());
 #endif
     drive(suspicion);
 }
@@ -209,8 +210,8 @@
         return;
     }
     pgw_copies_prove(suspicion->copies, &run->fingerprint);
-    pgw_quarantine_success(suspicion->machine, &run->fingerprint,
-                           run->suspicion_ticket, pgw_hlc_wall_us());
+    pgw_quarantine_report_success(suspicion->machine, &run->fingerprint,
+                                  run->suspicion_ticket, pgw_hlc_wall_us());
     forget(suspicion, run);
     drive(suspicion);
 }
@@ -248,8 +249,8 @@
     struct suspicion *suspicion = context;
 
     if (version == 0) {
-        pgw_quarantine_hear(suspicion->machine, fingerprint, value, length,
-                            pgw_hlc_wall_us());
+        pgw_quarantine_apply_unrecorded(suspicion->machine, fingerprint, value,
+                                        length, pgw_hlc_wall_us());
         drive(suspicion);
         return;
     }
--- a/tests/property/prop_quarantine.cc
+++ b/tests/property/prop_quarantine.cc
@@ -1,8 +1,9 @@
-// A request that crashes every engine is sent again and again, to any sidecar,
-// beside innocent ones, while sidecars die with their engines, pause, and the
-// store delays, loses and refuses. At most two engines crash by it in all. So it
-// is when many entries send many copies at any time, if each asks sidecar 0,
-// which ranks first, and its Open arrives any time after the answer.
+// A request that crashes every engine is resent repeatedly, to any sidecar and
+// beside harmless requests. Meanwhile sidecars die with their engines and
+// pause, and the store delays, loses and refuses operations. At most two
+// engines crash by the request in all. The same holds when many entries send
+// many copies at any time, if each entry asks sidecar 0, which ranks first, and
+// its Open arrives any time after the answer.
 #include "parsleygw/copies.h"
 #include "parsleygw/quarantine.h"
 #include "prop_support.h"
@@ -18,8 +19,8 @@
 
 constexpr uint64_t kSecond = G_USEC_PER_SEC;
 constexpr unsigned kSidecars = 4;
-constexpr unsigned kEntry = kSidecars; // reports for sidecars that died
-constexpr unsigned kBodies = 3;        // 0 crashes, the others are innocent
+constexpr unsigned kEntry = kSidecars; // reports crashes of dead sidecars
+constexpr unsigned kRequests = 3;      // request 0 crashes its engine
 
 struct operation {
     unsigned process;
@@ -39,13 +40,13 @@
     std::optional<std::string> value;
 };
 
-// What the watch, or a peer on its behalf, tells every process.
+// A change that the watch, or a peer, sends to every process.
 struct change {
     uint64_t time;
     unsigned body;
     uint64_t version;
     std::optional<std::string> value;
-    bool unstored;
+    bool is_unrecorded;
 };
 
 struct process {
@@ -53,9 +54,9 @@
     uint64_t incarnation = 0;
     uint64_t engine = 0;
     std::set<uint64_t> running;
-    std::deque<uint64_t> starting;
-    uint64_t alone = 0;
-    size_t seen = 0;
+    std::deque<uint64_t> queued;
+    uint64_t alone_ticket = 0;
+    size_t applied_changes = 0;
     bool paused = false;
 };
 
@@ -67,43 +68,44 @@
     unsigned sidecar = 0;
 };
 
-// An entry knows where the copy goes; its Open is on the way.
-struct placed {
+// An entry has chosen a sidecar; its Open is in flight.
+struct pending_open {
     size_t caller;
     unsigned sidecar;
 };
 
-struct world {
+struct simulation {
     uint64_t now = 1700000000 * kSecond;
-    bool up = true;
-    bool prompt;
-    bool died = false;
+    bool store_is_up = true;
+    bool store_is_timely;
+    bool sidecar_died = false;
     uint64_t counter = 0;
     uint64_t next = 1;
     unsigned crashes = 0;
-    object objects[kBodies];
+    object objects[kRequests];
     std::vector<change> changes;
     std::vector<operation> operations;
     process processes[kSidecars + 1];
     std::vector<caller> callers;
     std::map<uint64_t, size_t> owners; // ticket to caller
-    pgw_copies *copies = nullptr;      // of sidecar 0, if copies gather
-    std::vector<placed> opens;
+    pgw_copies *copies = nullptr;      // of sidecar 0, if entries ask it
+    std::vector<pending_open> pending_opens;
 
-    world(unsigned poisoners, bool is_prompt) : prompt(is_prompt)
+    simulation(unsigned crashing_callers, bool is_timely)
+        : store_is_timely(is_timely)
     {
         for (unsigned i = 0; i <= kSidecars; i++) {
             restart(i);
         }
-        for (unsigned i = 0; i < poisoners; i++) {
+        for (unsigned i = 0; i < crashing_callers; i++) {
             callers.push_back({0});
         }
-        for (unsigned body = 1; body < kBodies; body++) {
+        for (unsigned body = 1; body < kRequests; body++) {
             callers.push_back({body});
         }
     }
 
-    ~world()
+    ~simulation()
     {
         for (auto &one : processes) {
             pgw_quarantine_free(one.machine);
@@ -131,24 +133,24 @@
         one.incarnation = next++;
         one.engine = next++;
         options.owner = one.incarnation;
-        options.stale_us = options.spread_us;
+        options.stale_after_us = options.propagation_us;
         one.machine = pgw_quarantine_new(&options);
-        see_changes(i);
+        apply_changes(i);
     }
 
     void
-    see_changes(unsigned i)
+    apply_changes(unsigned i)
     {
         process &one = processes[i];
 
-        for (; one.seen < changes.size(); one.seen++) {
-            const change &what = changes[one.seen];
+        for (; one.applied_changes < changes.size(); one.applied_changes++) {
+            const change &what = changes[one.applied_changes];
             pgw_fingerprint fingerprint = name(what.body);
 
-            if (what.unstored) {
-                pgw_quarantine_hear(one.machine, &fingerprint,
-                                    what.value->c_str(), what.value->size(),
-                                    now);
+            if (what.is_unrecorded) {
+                pgw_quarantine_apply_unrecorded(
+                    one.machine, &fingerprint, what.value->c_str(),
+                    what.value->size(), now);
             }
             else {
                 pgw_quarantine_apply(
@@ -157,27 +159,27 @@
                     what.value ? what.value->size() : 0, now);
             }
         }
-        pgw_quarantine_synced(one.machine, now);
+        pgw_quarantine_mark_synced(one.machine, now);
     }
 
-    // Time passes in steps shorter than the time in which changes spread.
+    // Time passes in steps shorter than the propagation time of changes.
     void
     wait(uint64_t us)
     {
         for (; us > 0; us -= us < kSecond / 4 ? us : kSecond / 4) {
             now += us < kSecond / 4 ? us : kSecond / 4;
             for (unsigned i = 0; i <= kSidecars; i++) {
-                bool late = processes[i].seen < changes.size() &&
-                            changes[processes[i].seen].time + kSecond / 2 <=
-                                now;
+                size_t applied = processes[i].applied_changes;
+                bool late = applied < changes.size() &&
+                            changes[applied].time + kSecond / 2 <= now;
 
                 if (!processes[i].paused &&
-                    (late || processes[i].seen == changes.size())) {
-                    see_changes(i);
+                    (late || applied == changes.size())) {
+                    apply_changes(i);
                 }
             }
-            // Processes that are in time do not sleep through a wait: what
-            // they hear in it they act on in it.
+            // Timely processes do not sleep through a wait: they act within
+            // it on the changes that they receive.
             if (copies != nullptr) {
                 settle_all();
             }
@@ -206,11 +208,11 @@
         case PGW_QUARANTINE_PENDING:
             break;
         case PGW_QUARANTINE_RUN:
-            one.starting.push_back(out.ticket);
+            one.queued.push_back(out.ticket);
             break;
         case PGW_QUARANTINE_RUN_ALONE:
-            one.starting.push_front(out.ticket);
-            one.alone = out.ticket;
+            one.queued.push_front(out.ticket);
+            one.alone_ticket = out.ticket;
             break;
         default:
             answer(out.ticket, out.action == PGW_QUARANTINE_REFUSE
@@ -225,16 +227,16 @@
     {
         process &one = processes[i];
 
-        while (!one.starting.empty()) {
-            uint64_t ticket = one.starting.front();
-            bool alone = one.alone != 0;
+        while (!one.queued.empty()) {
+            uint64_t ticket = one.queued.front();
+            bool runs_alone = one.alone_ticket != 0;
 
-            if (alone && !one.running.empty()) {
+            if (runs_alone && !one.running.empty()) {
                 return;
             }
-            one.starting.pop_front();
+            one.queued.pop_front();
             one.running.insert(ticket);
-            if (alone) {
+            if (runs_alone) {
                 return;
             }
         }
@@ -260,11 +262,11 @@
     }
 
     void
-    place(size_t who, unsigned wanted)
+    choose_sidecar(size_t who, unsigned wanted)
     {
         pgw_fingerprint fingerprint = name(callers[who].body);
 
-        for (const placed &one : opens) {
+        for (const pending_open &one : pending_opens) {
             if (one.caller == who) {
                 return;
             }
@@ -275,22 +277,22 @@
         if (pgw_copies_ask(copies, &fingerprint, now + 3600 * kSecond, now)) {
             wanted = 0;
         }
-        opens.push_back({who, wanted});
+        pending_opens.push_back({who, wanted});
     }
 
     void
     open(size_t which)
     {
-        placed one = opens[which];
+        pending_open one = pending_opens[which];
 
-        opens.erase(opens.begin() + (long)which);
+        pending_opens.erase(pending_opens.begin() + (long)which);
         send(one.caller, one.sidecar, false);
     }
 
-    // The engine of sidecar i dies; `reporter` tells what was running, unless
-    // `silent`: then nobody is left who could.
+    // The engine of sidecar i crashes. `reporter` reports what was running,
+    // unless `is_unreported`: no process that knows of the runs is left.
     void
-    crash(unsigned i, unsigned reporter, bool silent = false)
+    crash(unsigned i, unsigned reporter, bool is_unreported = false)
     {
         process &one = processes[i];
         std::set<uint64_t> running;
@@ -308,12 +310,12 @@
             pgw_fingerprint fingerprint = name(body);
             pgw_quarantine_record record = {};
 
-            if (silent) {
+            if (is_unreported) {
                 answer(ticket, PGW_REFUSAL_UPSTREAM_FAILED);
                 continue;
             }
-            pgw_quarantine_crash(processes[reporter].machine, &fingerprint,
-                                 ticket, one.engine, now);
+            pgw_quarantine_report_crash(processes[reporter].machine,
+                                        &fingerprint, ticket, one.engine, now);
             record.crash_count = 1;
             record.crashes[0] = one.engine;
             record.changed_us = now;
@@ -322,7 +324,7 @@
             g_free(text);
         }
         one.engine = next++;
-        one.alone = 0;
+        one.alone_ticket = 0;
     }
 
     void
@@ -343,8 +345,10 @@
                 name(callers[owners.at(ticket)].body);
 
             one.running.erase(ticket);
-            one.alone = one.alone == ticket ? 0 : one.alone;
-            pgw_quarantine_success(one.machine, &fingerprint, ticket, now);
+            one.alone_ticket =
+                one.alone_ticket == ticket ? 0 : one.alone_ticket;
+            pgw_quarantine_report_success(one.machine, &fingerprint, ticket,
+                                          now);
             if (copies != nullptr && i == 0) {
                 pgw_copies_prove(copies, &fingerprint);
             }
@@ -353,16 +357,18 @@
         start(i);
     }
 
-    // The sidecar dies and its engine with it; what had not started is lost.
-    // If it ran a suspect alone, the entry may die as well: the permit in the
-    // store is then all that tells of the run.
+    // The sidecar dies together with its engine; requests that had not started
+    // are lost. If it ran a suspect alone, the entry may die as well: the
+    // permit in the store is then the only trace of the run.
     void
-    die(unsigned i, bool silent)
+    kill_sidecar(unsigned i, bool is_unreported)
     {
         std::set<uint64_t> reported = processes[i].running;
 
-        died = true;
-        crash(i, kEntry, silent && processes[i].running.count(processes[i].alone));
+        sidecar_died = true;
+        crash(i, kEntry,
+              is_unreported &&
+                  processes[i].running.count(processes[i].alone_ticket));
         for (size_t who = 0; who < callers.size(); who++) {
             uint64_t ticket = callers[who].ticket;
 
@@ -389,7 +395,7 @@
             one.kind = io.kind;
             one.expected = io.expected_version;
             one.value = io.value ? std::string(io.value, io.length) : "";
-            for (unsigned body = 0; body < kBodies; body++) {
+            for (unsigned body = 0; body < kRequests; body++) {
                 pgw_fingerprint other = name(body);
 
                 if (!memcmp(&other, &fingerprint, sizeof(other))) {
@@ -412,7 +418,7 @@
         one.arrived = true;
         one.version = target.version;
         one.reply = target.value.value_or("");
-        if (!up) {
+        if (!store_is_up) {
             one.result = PGW_IO_UNAVAILABLE;
         }
         else if (one.kind == PGW_IO_READ) {
@@ -457,7 +463,7 @@
     }
 
     void
-    pump(unsigned i)
+    handle_decisions(unsigned i)
     {
         pgw_quarantine_decision out;
 
@@ -477,7 +483,7 @@
                     reply(one, false);
                 }
                 operations.clear();
-                pump(i);
+                handle_decisions(i);
             }
         }
     }
@@ -497,11 +503,11 @@
                 send(who, i, check);
             }
             else if (i != kEntry) {
-                place(who, i);
+                choose_sidecar(who, i);
             }
         }
-        else if (what < 20 && !opens.empty()) {
-            open(choose.pick((uint32_t)opens.size()));
+        else if (what < 20 && !pending_opens.empty()) {
+            open(choose.pick((uint32_t)pending_opens.size()));
         }
         else if (what < 26) {
             take_io(i);
@@ -514,35 +520,35 @@
             operations.erase(operations.begin() + (long)k);
         }
         else if (what == 40 && !operations.empty()) {
-            // The answer is given up before the request arrives.
+            // The operation times out before it arrives at the store.
             reply(operations[choose.pick((uint32_t)operations.size())], true);
         }
         else if (what < 50 && i != kEntry) {
             run_engine(i);
         }
-        else if (what == 50 && i != kEntry && !prompt) {
-            die(i, choose.pick(2));
+        else if (what == 50 && i != kEntry && !store_is_timely) {
+            kill_sidecar(i, choose.pick(2));
         }
         else if (what < 58) {
             wait(choose.pick(3) ? 50000 : choose.pick(12) * kSecond);
         }
-        else if (what == 58 && !prompt) {
-            up = choose.pick(3) != 0;
+        else if (what == 58 && !store_is_timely) {
+            store_is_up = choose.pick(3) != 0;
         }
-        else if (what == 59 && !prompt && i != kEntry) {
+        else if (what == 59 && !store_is_timely && i != kEntry) {
             processes[i].paused = !processes[i].paused;
         }
-        if (prompt) {
+        if (store_is_timely) {
             settle_all();
         }
-        pump(i);
+        handle_decisions(i);
     }
 
     void
-    heal()
+    recover()
     {
-        up = true;
-        while (!opens.empty()) {
+        store_is_up = true;
+        while (!pending_opens.empty()) {
             open(0);
         }
         for (auto &one : processes) {
@@ -560,19 +566,20 @@
         }
     }
 
-    // After the faults every innocent is answered, the other one refused.
+    // After the faults every harmless request runs; the one that crashes
+    // engines is refused.
     void
     send_all_again()
     {
         for (size_t who = 0; who < callers.size(); who++) {
             for (unsigned again = 0; again < 3; again++) {
                 send(who, 0, false);
-                heal();
+                recover();
             }
             if (callers[who].body == 0) {
                 RC_ASSERT(callers[who].refusal == PGW_REFUSAL_QUARANTINED);
             }
-            else if (!died) {
+            else if (!sidecar_died) {
                 RC_ASSERT(callers[who].refusal == PGW_REFUSAL_COUNT);
             }
         }
@@ -581,17 +588,17 @@
 };
 
 void
-run(unsigned poisoners, bool prompt, bool gather = false)
+run(unsigned crashing_callers, bool store_is_timely, bool use_copies = false)
 {
-    world one(poisoners, prompt);
+    simulation one(crashing_callers, store_is_timely);
 
-    if (gather) {
+    if (use_copies) {
         one.copies = pgw_copies_new(16);
     }
     for (uint32_t number : random_script(300)) {
         one.step(number);
     }
-    one.heal();
+    one.recover();
     one.send_all_again();
 }
 
@@ -602,11 +609,15 @@
 {
     bool good = true;
 
-    good &= rc::check("sent again after each answer: two crashes at most",
-                      [] { run(1, false); });
-    good &= rc::check("two copies at once, a store that answers in time",
-                      [] { run(2, true); });
-    good &= rc::check("eight copies at once that gather, a store in time",
-                      [] { run(8, true, true); });
+    good &= rc::check(
+        "one caller resends after each answer: at most two crashes",
+        [] { run(1, false); });
+    good &= rc::check(
+        "two concurrent copies and a timely store: at most two crashes",
+        [] { run(2, true); });
+    good &= rc::check(
+        "eight concurrent copies that ask sidecar 0 and a timely store: at "
+        "most two crashes",
+        [] { run(8, true, true); });
     return good ? 0 : 1;
 }
