--- a/include/parsleygw/permit.h
+++ b/include/parsleygw/permit.h
@@ -13,23 +13,24 @@
 /**
  * DOC: Permits for orders to engines, with fencing numbers
  *
- * One store object a pool (kind %PGW_PERMIT_KIND) lists the orders in
+ * One store object per pool (kind %PGW_PERMIT_KIND) lists the orders in
  * progress, at most the declared number of weight loads at once. Every step
- * of an order is one conditional write: it is granted, started, renewed while
- * it runs, released. An order reaches the engine only after its start was
- * written, so that of a reclaim and a start exactly one takes effect, however
- * long either side was paused before its write.
+ * of an order is one conditional write: the permit is granted, started,
+ * renewed while the order runs, and released. An order is sent to the engine
+ * only after its start was written, so exactly one of a reclaim and a start
+ * takes effect, however long either side was paused before its write.
  *
  * A grant's fencing number is the version that its write replaced, plus one.
- * Versions come from the store's one counter, so numbers only grow, also
- * over a deleted and recreated object. A holder that was paused after its
- * start and was replaced carries a smaller number than its successor: the
- * engine refuses it if it checks, otherwise the sidecar's gate does.
+ * Versions come from the store's one counter, so fencing numbers only grow,
+ * even when the object is deleted and recreated. A holder that was paused
+ * after its start and was replaced has a smaller number than its successor:
+ * the engine rejects the order if it checks the number, otherwise the sidecar
+ * does, see &struct pgw_permit_fencing.
  *
- * A lease is taken to have lapsed when an observer saw its beat unchanged for
- * a whole term by the observer's own clock: clocks are never compared.
- * Correctness does not rest on it: a lapse too early costs a repeated order
- * under a higher number.
+ * A lease counts as lapsed when an observer has seen its heartbeat counter
+ * unchanged for a whole term by the observer's own clock; clocks of different
+ * machines are never compared. Correctness does not depend on this: a lapse
+ * that is detected too early costs a repeated order under a higher number.
  */
 
 #define PGW_PERMIT_KIND "permit"
@@ -37,7 +38,7 @@
 #define PGW_PERMIT_TEXT_MAX 256
 
 /**
- * struct pgw_permit_order - what the engine is to do (POST /orders)
+ * struct pgw_permit_order - a command to an engine (POST /orders)
  * @kind: "load_version", "load_model", "load_adapter" or "set_role"
  */
 struct pgw_permit_order {
@@ -50,8 +51,8 @@
 
 /**
  * enum pgw_permit_phase - progress of an order
- * @PGW_PERMIT_GRANTED: may be started; the engine has not heard of it
- * @PGW_PERMIT_STARTED: the engine may have been told
+ * @PGW_PERMIT_GRANTED: may be started; not sent to the engine
+ * @PGW_PERMIT_STARTED: may have been sent to the engine
  */
 enum pgw_permit_phase {
     PGW_PERMIT_GRANTED,
@@ -60,12 +61,12 @@
 
 /**
  * struct pgw_permit_slot - one order in progress
- * @target: upstream whose engine it is for
- * @holder: process that carries it out, with its incarnation ("u1:90ab")
+ * @target: upstream whose engine the order is for
+ * @holder: process that runs the order, with its incarnation ("u1:90ab")
  * @fence: fencing number
- * @beat: grows while the holder lives
+ * @beat: heartbeat counter, incremented by each renewal
  * @phase: see &enum pgw_permit_phase
- * @order: the order, kept so that a successor can go on with it
+ * @order: the order, stored so that a successor can resume it
  */
 struct pgw_permit_slot {
     char target[PGW_PERMIT_NAME_MAX + 1];
@@ -80,7 +81,7 @@
 
 /**
  * struct pgw_permit_table - the permit object as read
- * @version: its version in the store; 0: it does not exist
+ * @version: version in the store; 0: the object does not exist
  * @slots: orders in progress
  * @n: number of @slots
  */
@@ -91,17 +92,17 @@
 };
 
 /**
- * pgw_permit_table_parse() - read a permit object
+ * pgw_permit_table_parse() - parse a permit object
  * @out: receives the table
  * @version: version of the object
- * @value: its JSON text
+ * @value: JSON text of the object
  * @error: %PGW_ERROR_INVALID
  */
 bool pgw_permit_table_parse(struct pgw_permit_table *out, uint64_t version,
                             const char *value, GError **error);
 
 /**
- * pgw_permit_table_format() - JSON text of a table
+ * pgw_permit_table_format() - format a table as JSON
  * @table: the table
  * @nonce: identity of this write, see pgw_store_put_settled()
  *
@@ -110,15 +111,17 @@
 char *pgw_permit_table_format(const struct pgw_permit_table *table,
                               const char *nonce);
 
-/** pgw_permit_table_find() - the order for a target; NULL: none */
+/** pgw_permit_table_find() - find the order for a target; NULL: none */
 const struct pgw_permit_slot *
 pgw_permit_table_find(const struct pgw_permit_table *table,
                       const char *target);
 
 /**
- * struct pgw_permit_observer - since when each lease has been unchanged
+ * struct pgw_permit_observer - time since which each lease is unchanged
+ * @seen: leases of the last table observed, with the time of their last change
+ * @n: number of @seen
  *
- * Zeroed is an observer that has seen nothing.
+ * A zeroed struct is an observer that has observed no table.
  */
 struct pgw_permit_observer {
     struct {
@@ -131,7 +134,7 @@
 };
 
 /**
- * pgw_permit_observe() - note a table that was just read
+ * pgw_permit_observe() - update an observer with a table that was just read
  * @observer: the observer
  * @table: the table
  * @now_us: time before the read was sent
@@ -139,22 +142,24 @@
 void pgw_permit_observe(struct pgw_permit_observer *observer,
                         const struct pgw_permit_table *table, uint64_t now_us);
 
-/** pgw_permit_has_lapsed() - unchanged for a whole term before @now_us? */
+/** pgw_permit_has_lapsed() - whether a lease was unchanged for a whole term
+ * before @now_us */
 bool pgw_permit_has_lapsed(const struct pgw_permit_observer *observer,
                            const struct pgw_permit_slot *slot, uint64_t now_us,
                            uint64_t term_us);
 
 /**
- * enum pgw_permit_step - what a process wants to write
- * @PGW_PERMIT_ACQUIRE: get a grant for a target, or go on with its order
+ * enum pgw_permit_step - step of an order, one write each
+ * @PGW_PERMIT_ACQUIRE: get a grant for a target, or take over its order
  * @PGW_PERMIT_START: the order is about to be sent
- * @PGW_PERMIT_RENEW: still at it
- * @PGW_PERMIT_RELEASE: done, or given up before its start
+ * @PGW_PERMIT_RENEW: the order is still in progress
+ * @PGW_PERMIT_RELEASE: the order is done, or was abandoned before its start
  *
- * Whoever goes on with a started order sends it again under the own number
- * before releasing it, also when the engine shows that nothing is left to do:
- * only an order that arrived makes the engine or its gate refuse the older
- * number of a holder that wakes up later.
+ * A process that resumes a started order resends it under its own number
+ * before it releases the permit, even if the engine already shows the order's
+ * effect: only an order that arrived makes the engine, or the sidecar's
+ * fencing, reject the smaller number of an earlier holder that continues after
+ * a pause.
  */
 enum pgw_permit_step {
     PGW_PERMIT_ACQUIRE,
@@ -168,13 +173,13 @@
  * @step: see &enum pgw_permit_step
  * @holder: this process
  * @target: upstream whose engine the order is for
- * @fence: number of the grant; ignored by acquire
- * @order: the order, for acquire; for renew another one that takes the place
- *   of the first, or NULL
- * @limit: orders at once, from pgw_permit_limit(); acquire only
- * @is_gone: the target does not exist any more (membership says so), so that
- *   nobody will ever go on with its started order; NULL: none is
- * @data: handed to @is_gone
+ * @fence: fencing number of the grant; ignored by acquire
+ * @order: for acquire, the order; for renew, an order that replaces it, or
+ * NULL
+ * @limit: maximum of concurrent orders, from pgw_permit_limit(); acquire only
+ * @is_gone: whether a target no longer exists according to membership, so that
+ *   no process will ever resume its started order; NULL: all targets exist
+ * @data: passed to @is_gone
  */
 struct pgw_permit_request {
     enum pgw_permit_step step;
@@ -188,23 +193,23 @@
 };
 
 /**
- * pgw_permit_decide() - what to write for a step
- * @table: the table as read; receives what is to be written
- * @write: receives whether anything is to be written
- * @slot: receives the order as it stands after the step: its number, phase
- *   and what was ordered; not set by release
+ * pgw_permit_decide() - compute the write for a step
+ * @table: the table as read; receives the table to write
+ * @write: receives whether a write is needed
+ * @slot: receives the order after the step, with its number and phase; not set
+ *   by release
  * @request: the step
  * @observer: has observed @table
  * @now_us: time
  * @term_us: term of a lease
  * @error: %PGW_ERROR_OVERLOADED: all permits are in use;
- *   %PGW_ERROR_CONFLICT: another process carries out an order for the target;
+ *   %PGW_ERROR_CONFLICT: another process runs an order for the target;
  *   %PGW_ERROR_STALE: the grant was reclaimed: do not send the order
  *
- * Pure. Acquire reclaims grants that lapsed before their start. A lapsed
- * order that was started still loads the engine perhaps: it keeps its permit
- * until a process goes on with it (acquire for the same target, which gives
- * it a higher number) or its target is gone.
+ * Does no I/O. Acquire reclaims grants that lapsed before their start. A
+ * lapsed order that was started may still be loading: it keeps its permit
+ * until a process resumes it (acquire for the same target, which assigns a
+ * higher number) or its target is gone.
  */
 bool pgw_permit_decide(struct pgw_permit_table *table, bool *write,
                        struct pgw_permit_slot *slot,
@@ -213,56 +218,58 @@
                        uint64_t now_us, uint64_t term_us, GError **error);
 
 /**
- * pgw_permit_limit() - orders that may run at once
- * @load_permits: the pool's declared number
- * @usable: usable upstreams of the pool, those with an order included
+ * pgw_permit_limit() - maximum of concurrent orders in a pool
+ * @load_permits: number declared for the pool
+ * @usable: usable upstreams of the pool, including those with an order
  *
- * Return: @load_permits, but so that at least one upstream goes on serving
+ * Return: @load_permits, limited so that at least one upstream serves requests
  * during a rollout; 1 for a pool of one.
  */
 unsigned pgw_permit_limit(unsigned load_permits, size_t usable);
 
 /**
- * struct pgw_permit_gate - highest number that went to an engine
- * @high_water: refuses all below; start with the number that the engine's
- *   status or the permit object names
+ * struct pgw_permit_fencing - highest fencing number sent to an engine
+ * @high_water: smaller numbers are rejected; initialize with the number in the
+ *   engine's status or in the permit object
  *
- * Stands in for engines that ignore fencing numbers, and for those that check
- * but forget the number in a crash: every order passes it.
+ * Every order is checked here before it is sent, since some engines ignore
+ * fencing numbers and others lose the highest number in a crash.
  */
-struct pgw_permit_gate {
+struct pgw_permit_fencing {
     uint64_t high_water;
 };
 
 /**
- * pgw_permit_gate_admit() - may an order with this number go to the engine?
- * @gate: the gate
- * @fence: the order's number
+ * pgw_permit_fencing_admit() - check whether an order may be sent to the
+ * engine
+ * @fencing: highest number so far; updated
+ * @fence: fencing number of the order
  * @error: %PGW_ERROR_STALE
  *
- * An equal number is the same order repeated.
+ * An equal number is accepted: the same order is resent.
  */
-bool pgw_permit_gate_admit(struct pgw_permit_gate *gate, uint64_t fence,
-                           GError **error);
+bool pgw_permit_fencing_admit(struct pgw_permit_fencing *fencing,
+                              uint64_t fence, GError **error);
 
 /**
- * pgw_permit_run() - read, decide, write; again after a lost race
+ * pgw_permit_run_step() - run one step: read, decide, write; retry on conflict
  * @slot: as for pgw_permit_decide()
  * @store: the store
- * @scope: name of the permit object, the pool's name
+ * @scope: name of the permit object: the pool's name
  * @request: the step
  * @observer: this process's observer of @scope
  * @term_us: term of a lease
- * @deadline_us: time to give up, in g_get_monotonic_time()
- * @error: as pgw_permit_decide() and the store's calls
+ * @deadline_us: end of retries, by g_get_monotonic_time()
+ * @error: as for pgw_permit_decide() and the store's calls
  *
- * Steps are idempotent: one whose outcome stayed unknown is simply run again.
+ * Steps are idempotent: a step with an unknown outcome can be run again.
  */
-bool pgw_permit_run(struct pgw_permit_slot *slot, struct pgw_store *store,
-                    const char *scope,
-                    const struct pgw_permit_request *request,
-                    struct pgw_permit_observer *observer, uint64_t term_us,
-                    uint64_t deadline_us, GError **error);
+bool pgw_permit_run_step(struct pgw_permit_slot *slot, struct pgw_store *store,
+                         const char *scope,
+                         const struct pgw_permit_request *request,
+                         struct pgw_permit_observer *observer,
+                         uint64_t term_us, uint64_t deadline_us,
+                         GError **error);
 
 G_END_DECLS
 
--- a/src/libparsleygw/orders.c
+++ b/src/libparsleygw/orders.c
@@ -17,19 +17,21 @@
     char *holder;
     pthread_t thread;
 
-    /* The thread's own. */
+    /* Used on the thread only. */
     struct pgw_permit_observer observer;
-    struct pgw_permit_gate gate;
+    struct pgw_permit_fencing fencing;
     struct pgw_permit_slot slot;
-    uint64_t confirmed_us; /* the permit was last written by us */
-    uint64_t taken;        /* serial that the order in progress is from */
-    bool looked;           /* for an order that an earlier process left */
+    uint64_t permit_written_us; /* start of our last step that succeeded */
+    /* Generation that the order was computed from; 0: order of an earlier
+     * process. */
+    uint64_t order_generation;
+    bool leftover_is_checked; /* no order of an earlier process is left */
 
-    pthread_mutex_t lock; /* guards all below */
+    pthread_mutex_t lock; /* protects all members below */
     pthread_cond_t wake;
     bool stopping;
-    bool wanted;
-    uint64_t serial; /* of what is wanted */
+    bool has_desired;    /* @model, @version, @adapters and @limit are set */
+    uint64_t generation; /* incremented by each change of the desired state */
     char *model;
     char *version;
     char **adapters;
@@ -56,9 +58,9 @@
     return (uint64_t)g_get_monotonic_time();
 }
 
-/* False when the process stops. */
+/* Sleeps. Return: false when the thread must stop. */
 static bool
-pause_for(struct pgw_orders *orders, uint64_t us)
+sleep_unless_stopping(struct pgw_orders *orders, uint64_t us)
 {
     uint64_t until = now_us() + us;
     struct timespec limit = {.tv_sec = (time_t)(until / G_USEC_PER_SEC),
@@ -88,8 +90,8 @@
 }
 
 static bool
-permit_step(struct pgw_orders *orders, enum pgw_permit_step step,
-            const struct pgw_permit_order *order, GError **error)
+run_permit_step(struct pgw_orders *orders, enum pgw_permit_step step,
+                const struct pgw_permit_order *order, GError **error)
 {
     struct pgw_permit_request request = {.step = step,
                                          .holder = orders->holder,
@@ -102,24 +104,25 @@
     pthread_mutex_lock(&orders->lock);
     request.limit = orders->limit;
     pthread_mutex_unlock(&orders->lock);
-    ok = pgw_permit_run(&orders->slot, orders->options.store, orders->scope,
-                        &request, &orders->observer, orders->options.term_us,
-                        began_us + STORE_TIMEOUT_US, error);
+    ok = pgw_permit_run_step(&orders->slot, orders->options.store,
+                             orders->scope, &request, &orders->observer,
+                             orders->options.term_us,
+                             began_us + STORE_TIMEOUT_US, error);
     if (ok) {
-        orders->confirmed_us = began_us;
+        orders->permit_written_us = began_us;
     }
     return ok;
 }
 
-/* Renews the permit when a third of its term has passed. A store that is down
- * is no reason to stop: nobody else can take the permit either. */
+/* Renews the permit when a third of its term has passed. An unavailable store
+ * does not end the order: no other process can take the permit either. */
 static bool
-keep_permit(struct pgw_orders *orders, GError **error)
+renew_permit_if_due(struct pgw_orders *orders, GError **error)
 {
     GError *cause = NULL;
 
-    if (now_us() - orders->confirmed_us < orders->options.term_us / 3 ||
-        permit_step(orders, PGW_PERMIT_RENEW, NULL, &cause)) {
+    if (now_us() - orders->permit_written_us < orders->options.term_us / 3 ||
+        run_permit_step(orders, PGW_PERMIT_RENEW, NULL, &cause)) {
         return true;
     }
     if (!g_error_matches(cause, PGW_ERROR, PGW_ERROR_STALE)) {
@@ -136,34 +139,36 @@
     set_phase(orders, PGW_ORDERS_DRAINING, NULL);
     orders->options.hold(orders->options.context, true);
     while (!orders->options.is_idle(orders->options.context)) {
-        if (!keep_permit(orders, error)) {
+        if (!renew_permit_if_due(orders, error)) {
             return false;
         }
-        if (!pause_for(orders, IDLE_POLL_US)) {
-            g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                        "the process stops: its successor goes on");
+        if (!sleep_unless_stopping(orders, IDLE_POLL_US)) {
+            g_set_error(
+                error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
+                "process is stopping: its successor resumes the order");
             return false;
         }
     }
     return true;
 }
 
-/* A process that was stopped for long between its start's write and here may
- * have been replaced. An engine that ignores numbers would take its order, so
- * it asks once more whether the permit is still its own. */
+/* A process that was paused for long after it wrote the start may have been
+ * replaced. An engine that ignores fencing numbers would accept its order, so
+ * the permit is renewed before the order is sent. */
 static bool
 send_order(struct pgw_orders *orders, GError **error)
 {
     set_phase(orders, PGW_ORDERS_SENDING, NULL);
 #ifndef PGW_DISABLE_ORDERS_CONFIRM
-    if (now_us() - orders->confirmed_us >= orders->options.term_us / 3 &&
-        !permit_step(orders, PGW_PERMIT_RENEW, NULL, error)) {
+    if (now_us() - orders->permit_written_us >= orders->options.term_us / 3 &&
+        !run_permit_step(orders, PGW_PERMIT_RENEW, NULL, error)) {
         return false;
     }
 #endif
-    return pgw_permit_gate_admit(&orders->gate, orders->slot.fence, error) &&
-           pgw_orders__send(orders->engine_url, &orders->slot.order,
-                            orders->slot.fence, error);
+    return pgw_permit_fencing_admit(&orders->fencing, orders->slot.fence,
+                                    error) &&
+           pgw_orders__send_order(orders->engine_url, &orders->slot.order,
+                                  orders->slot.fence, error);
 }
 
 static bool
@@ -173,12 +178,12 @@
     bool done;
 
     *loading = true;
-    if (!pgw_orders__status(&engine, orders->engine_url, NULL)) {
+    if (!pgw_orders__engine_status_get(&engine, orders->engine_url, NULL)) {
         return false;
     }
     done = pgw_rollout_is_done(&orders->slot.order, &engine);
     *loading = engine.loading;
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     return done;
 }
 
@@ -189,59 +194,61 @@
     bool needed;
 
     pthread_mutex_lock(&orders->lock);
-    needed = orders->wanted &&
-             pgw_rollout_next(
+    needed = orders->has_desired &&
+             pgw_rollout_next_order(
                  out,
-                 &(struct pgw_rollout_wanted){
+                 &(struct pgw_rollout_desired){
                      .model = orders->model,
                      .version = orders->version,
                      .adapters = (const char *const *)orders->adapters},
                  engine);
-    orders->taken = orders->serial;
+    orders->order_generation = orders->generation;
     pthread_mutex_unlock(&orders->lock);
     return needed;
 }
 
 static bool
-has_changed(struct pgw_orders *orders)
+desired_has_changed(struct pgw_orders *orders)
 {
     bool changed;
 
     pthread_mutex_lock(&orders->lock);
-    changed = orders->serial != orders->taken;
+    changed = orders->generation != orders->order_generation;
     pthread_mutex_unlock(&orders->lock);
     return changed;
 }
 
 /*
  * A process that was paused, or that started from an old copy of the
- * configuration, would take a permit under a fresh number and order the
- * weights of yesterday, which no engine refuses: so the store is asked first.
- * An order that an earlier process left is only ended, not begun.
+ * configuration, would acquire a permit with a new fencing number and order
+ * outdated weights, which no engine rejects. The store is therefore read
+ * first. An order of an earlier process is not checked: it has already begun
+ * and only needs to be ended.
  */
 static bool
-is_current(struct pgw_orders *orders, GError **error)
+order_is_current(struct pgw_orders *orders, GError **error)
 {
-    if (orders->taken == 0) {
+    if (orders->order_generation == 0) {
         return true;
     }
     if (orders->options.confirm != NULL &&
         !orders->options.confirm(orders->options.context, error)) {
         return false;
     }
-    if (orders->taken != 0 && has_changed(orders)) {
+    if (orders->order_generation != 0 && desired_has_changed(orders)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_CONFLICT,
-                    "order for %s: something else is wanted meanwhile: start "
-                    "again",
+                    "order for %s: the desired state has changed: retry with "
+                    "the new state",
                     orders->target);
         return false;
     }
     return true;
 }
 
-/* What is wanted has changed and the engine would carry the order out to its
- * end, perhaps to one that never comes: weights that are not in the store.
- * The changed order goes out under the same permit and number. */
+/* Replaces the order in progress when the desired state has changed. The
+ * engine would otherwise run the old order to its end, which may never come:
+ * its weights may be missing in the store. The new order is sent under the
+ * same permit and fencing number. */
 static bool
 replace_order(struct pgw_orders *orders, bool *replaced, GError **error)
 {
@@ -251,27 +258,27 @@
         .version = (char *)order->version,
     };
     struct pgw_permit_order next;
-    uint64_t taken = orders->taken;
+    uint64_t order_generation = orders->order_generation;
 
     *replaced = false;
-    if (!pgw_rollout_needs_idle(order) || !has_changed(orders) ||
+    if (!pgw_rollout_needs_idle(order) || !desired_has_changed(orders) ||
         !next_order(orders, &next, &as_ordered) ||
         !pgw_rollout_needs_idle(&next)) {
         return true;
     }
     *replaced = (orders->options.confirm == NULL ||
                  orders->options.confirm(orders->options.context, error)) &&
-                permit_step(orders, PGW_PERMIT_RENEW, &next, error);
+                run_permit_step(orders, PGW_PERMIT_RENEW, &next, error);
     if (!*replaced) {
-        orders->taken = taken;
+        orders->order_generation = order_generation;
     }
     return *replaced;
 }
 
-/* An engine that crashes meanwhile comes back without the order: then it is
- * sent again, under the same number. */
+/* Sends the order and waits until it is done. An engine that crashes meanwhile
+ * restarts without the order, which is then resent under the same number. */
 static bool
-send_and_watch(struct pgw_orders *orders, GError **error)
+send_until_done(struct pgw_orders *orders, GError **error)
 {
     bool loading = false;
     bool replaced = false;
@@ -293,34 +300,36 @@
         if (sent && is_engine_done(orders, &loading)) {
             return true;
         }
-        if (!keep_permit(orders, error)) {
+        if (!renew_permit_if_due(orders, error)) {
             return false;
         }
-        if (!pause_for(orders, orders->options.poll_us)) {
-            g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                        "the process stops: its successor goes on");
+        if (!sleep_unless_stopping(orders, orders->options.poll_us)) {
+            g_set_error(
+                error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
+                "process is stopping: its successor resumes the order");
             return false;
         }
     }
 }
 
-/* Until it succeeds: a permit that is not given back stops the rollout. */
+/* Retries until it succeeds: a permit that is not released blocks the
+ * rollout. */
 static void
 release(struct pgw_orders *orders)
 {
     GError *error = NULL;
 
-    while (!permit_step(orders, PGW_PERMIT_RELEASE, NULL, &error)) {
+    while (!run_permit_step(orders, PGW_PERMIT_RELEASE, NULL, &error)) {
         set_phase(orders, PGW_ORDERS_LOADING, error);
         g_clear_error(&error);
-        if (!pause_for(orders, orders->options.poll_us)) {
+        if (!sleep_unless_stopping(orders, orders->options.poll_us)) {
             return;
         }
     }
 }
 
 static void
-count(struct pgw_orders *orders, bool done, const GError *error)
+count_result(struct pgw_orders *orders, bool done, const GError *error)
 {
     pthread_mutex_lock(&orders->lock);
     orders->state.done += done;
@@ -330,47 +339,49 @@
 }
 
 static bool
-prepare(struct pgw_orders *orders, const struct pgw_permit_order *order,
-        GError **error)
+acquire_and_start(struct pgw_orders *orders,
+                  const struct pgw_permit_order *order, GError **error)
 {
-    if (!is_current(orders, error) ||
-        !permit_step(orders, PGW_PERMIT_ACQUIRE, order, error)) {
+    if (!order_is_current(orders, error) ||
+        !run_permit_step(orders, PGW_PERMIT_ACQUIRE, order, error)) {
         return false;
     }
     if ((pgw_rollout_needs_idle(&orders->slot.order) &&
          !drain(orders, error)) ||
-        !is_current(orders, error) ||
-        !permit_step(orders, PGW_PERMIT_START, NULL, error)) {
-        /* Not sent: others need not wait until it lapses. */
+        !order_is_current(orders, error) ||
+        !run_permit_step(orders, PGW_PERMIT_START, NULL, error)) {
+        /* The order was not sent: other processes need not wait for a lapse.
+         */
         if (orders->slot.phase == PGW_PERMIT_GRANTED) {
-            permit_step(orders, PGW_PERMIT_RELEASE, NULL, NULL);
+            run_permit_step(orders, PGW_PERMIT_RELEASE, NULL, NULL);
         }
         return false;
     }
     return true;
 }
 
-/* One order from its permit to its end. */
+/* Runs one order, from acquiring its permit to releasing it. */
 static void
-carry_out(struct pgw_orders *orders, const struct pgw_permit_order *order)
+run_order(struct pgw_orders *orders, const struct pgw_permit_order *order)
 {
     GError *error = NULL;
     bool done;
 
-    done = prepare(orders, order, &error) && send_and_watch(orders, &error);
+    done = acquire_and_start(orders, order, &error) &&
+           send_until_done(orders, &error);
     if (done) {
         release(orders);
     }
     orders->options.hold(orders->options.context, false);
-    count(orders, done, error);
+    count_result(orders, done, error);
     set_phase(orders, done ? PGW_ORDERS_IDLE : PGW_ORDERS_WAITING, error);
     g_clear_error(&error);
 }
 
-/* An order of an earlier process: the engine may already show its effect, yet
- * its permit stands until somebody ends it. */
+/* Finds an unfinished order of an earlier process. The engine may already show
+ * its effect, but its permit stays in use until a successor releases it. */
 static bool
-left_order(struct pgw_orders *orders, struct pgw_permit_order *out)
+find_leftover_order(struct pgw_orders *orders, struct pgw_permit_order *out)
 {
     struct pgw_permit_table *table;
     const struct pgw_permit_slot *slot = NULL;
@@ -380,7 +391,7 @@
 
     found = pgw_store_get(orders->options.store, &object, PGW_PERMIT_KIND,
                           orders->scope, now_us() + STORE_TIMEOUT_US, &error);
-    orders->looked =
+    orders->leftover_is_checked =
         found || g_error_matches(error, PGW_ERROR, PGW_ERROR_NOT_FOUND);
     g_clear_error(&error);
     if (!found) {
@@ -392,8 +403,9 @@
     }
     if (slot != NULL) {
         *out = slot->order;
-        orders->gate.high_water = MAX(orders->gate.high_water, slot->fence);
-        orders->looked = false;
+        orders->fencing.high_water =
+            MAX(orders->fencing.high_water, slot->fence);
+        orders->leftover_is_checked = false;
     }
     pgw_store_object_dispose(&object);
     g_free(table);
@@ -401,25 +413,26 @@
 }
 
 static void
-look(struct pgw_orders *orders)
+reconcile(struct pgw_orders *orders)
 {
     struct pgw_rollout_engine engine;
     struct pgw_permit_order order;
     GError *error = NULL;
     bool needed;
 
-    if (!pgw_orders__status(&engine, orders->engine_url, &error)) {
+    if (!pgw_orders__engine_status_get(&engine, orders->engine_url, &error)) {
         set_phase(orders, PGW_ORDERS_IDLE, error);
         g_clear_error(&error);
         return;
     }
-    orders->gate.high_water = MAX(orders->gate.high_water, engine.fence);
-    orders->taken = 0;
-    needed = (!orders->looked && left_order(orders, &order)) ||
+    orders->fencing.high_water = MAX(orders->fencing.high_water, engine.fence);
+    orders->order_generation = 0;
+    needed = (!orders->leftover_is_checked &&
+              find_leftover_order(orders, &order)) ||
              next_order(orders, &order, &engine);
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     if (needed) {
-        carry_out(orders, &order);
+        run_order(orders, &order);
     }
     else {
         set_phase(orders, PGW_ORDERS_IDLE, NULL);
@@ -427,14 +440,15 @@
 }
 
 static void *
-run(void *data)
+reconcile_loop(void *data)
 {
     struct pgw_orders *orders = data;
     uint64_t poll_us = orders->options.poll_us;
 
-    while (pause_for(orders, poll_us / 2 + (uint64_t)(g_random_double() *
-                                                      (double)poll_us))) {
-        look(orders);
+    while (sleep_unless_stopping(
+        orders,
+        poll_us / 2 + (uint64_t)(g_random_double() * (double)poll_us))) {
+        reconcile(orders);
     }
     return NULL;
 }
@@ -443,7 +457,7 @@
 pgw_orders_new(const struct pgw_orders_options *options)
 {
     struct pgw_orders *orders = g_new0(struct pgw_orders, 1);
-    pthread_condattr_t clock;
+    pthread_condattr_t attributes;
 
     orders->options = *options;
     orders->engine_url = g_strdup(options->engine_url);
@@ -451,11 +465,11 @@
     orders->target = g_strdup(options->target);
     orders->holder = g_strdup(options->holder);
     pthread_mutex_init(&orders->lock, NULL);
-    pthread_condattr_init(&clock);
-    pthread_condattr_setclock(&clock, CLOCK_MONOTONIC);
-    pthread_cond_init(&orders->wake, &clock);
-    pthread_condattr_destroy(&clock);
-    pthread_create(&orders->thread, NULL, run, orders);
+    pthread_condattr_init(&attributes);
+    pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
+    pthread_cond_init(&orders->wake, &attributes);
+    pthread_condattr_destroy(&attributes);
+    pthread_create(&orders->thread, NULL, reconcile_loop, orders);
     return orders;
 }
 
@@ -483,35 +497,37 @@
 }
 
 static bool
-is_other(const struct pgw_orders *orders,
-         const struct pgw_rollout_wanted *wanted)
+desired_differs(const struct pgw_orders *orders,
+                const struct pgw_rollout_desired *desired)
 {
     const char *const none[] = {NULL};
     const char *const *before = orders->adapters == NULL
                                     ? none
                                     : (const char *const *)orders->adapters;
     const char *const *now =
-        wanted->adapters == NULL ? none : wanted->adapters;
+        desired->adapters == NULL ? none : desired->adapters;
 
-    return !orders->wanted || strcmp(orders->model, wanted->model) != 0 ||
-           strcmp(orders->version, wanted->version) != 0 ||
+    return !orders->has_desired ||
+           strcmp(orders->model, desired->model) != 0 ||
+           strcmp(orders->version, desired->version) != 0 ||
            !g_strv_equal(before, now);
 }
 
 void
-pgw_orders_want(struct pgw_orders *orders,
-                const struct pgw_rollout_wanted *wanted, unsigned limit)
+pgw_orders_set_desired(struct pgw_orders *orders,
+                       const struct pgw_rollout_desired *desired,
+                       unsigned limit)
 {
     pthread_mutex_lock(&orders->lock);
-    orders->serial += is_other(orders, wanted);
+    orders->generation += desired_differs(orders, desired);
     g_free(orders->model);
     g_free(orders->version);
     g_strfreev(orders->adapters);
-    orders->model = g_strdup(wanted->model);
-    orders->version = g_strdup(wanted->version);
-    orders->adapters = g_strdupv((char **)wanted->adapters);
+    orders->model = g_strdup(desired->model);
+    orders->version = g_strdup(desired->version);
+    orders->adapters = g_strdupv((char **)desired->adapters);
     orders->limit = limit;
-    orders->wanted = true;
+    orders->has_desired = true;
     pthread_mutex_unlock(&orders->lock);
 }
 
--- a/src/libparsleygw/orders.h
+++ b/src/libparsleygw/orders.h
@@ -6,23 +6,24 @@
 #include "parsleygw/store.h"
 
 /**
- * DOC: Carrying out orders to one engine
+ * DOC: Running orders at one engine
  *
- * A thread beside the engine compares what it runs with what its pool
- * declares, takes a permit, waits until no request runs there, sends the
- * order, watches it and releases the permit. What an earlier process of the
- * same upstream left unfinished is gone on with first.
+ * A thread of the sidecar compares the engine's state with the state declared
+ * for its pool, acquires a permit, waits until no request runs at the engine,
+ * sends the order, polls the engine until the order is done, and releases the
+ * permit. An unfinished order of an earlier process of the same upstream is
+ * resumed first.
  */
 
 struct pgw_orders;
 
 /**
- * enum pgw_orders_phase - progress, for status and the time line
- * @PGW_ORDERS_IDLE: the engine is as declared
- * @PGW_ORDERS_WAITING: waits for a permit, or for the store
- * @PGW_ORDERS_DRAINING: has one; requests end
+ * enum pgw_orders_phase - progress, for status and the event log
+ * @PGW_ORDERS_IDLE: no order is in progress
+ * @PGW_ORDERS_WAITING: waiting for a permit or for the store
+ * @PGW_ORDERS_DRAINING: permit acquired; running requests are ending
  * @PGW_ORDERS_SENDING: the order is being sent
- * @PGW_ORDERS_LOADING: the engine carries it out
+ * @PGW_ORDERS_LOADING: the engine runs the order
  */
 enum pgw_orders_phase {
     PGW_ORDERS_IDLE,
@@ -36,13 +37,13 @@
 const char *pgw_orders_phase_name(enum pgw_orders_phase phase);
 
 /**
- * struct pgw_orders_state - for /status
+ * struct pgw_orders_state - state for /status
  * @phase: progress
- * @fence: number of the order in progress, 0 without one
+ * @fence: fencing number of the order in progress, 0 without an order
  * @order: the order in progress
- * @done: orders carried out
- * @refused: orders refused for an old number
- * @problem: why it waits; empty when it does not
+ * @done: number of completed orders
+ * @refused: number of orders refused for an outdated fencing number
+ * @problem: message of the last error, empty when there is none
  */
 struct pgw_orders_state {
     enum pgw_orders_phase phase;
@@ -55,20 +56,21 @@
 
 /**
  * struct pgw_orders_options - one engine
- * @store: the store; must outlive this
+ * @store: the store; must outlive the &struct pgw_orders
  * @engine_url: the engine, "http://ip:port"
- * @scope: pool, name of the permit object
+ * @scope: name of the permit object: the pool's name
  * @target: upstream
  * @holder: this process: instance and incarnation
- * @hold: true: hand no new request to the engine; false: go on. Called on
+ * @hold: true: send no new request to the engine; false: resume. Called on
  *   this module's thread
- * @is_idle: no request runs at the engine; called on this module's thread
- * @confirm: asks the store whether what is wanted is still what is declared;
- *   called on this module's thread before an order is begun and once more
- *   before it is sent. False, with an error set, gives the order up
- * @context: handed to both
- * @term_us: term of a permit
- * @poll_us: between two looks at the engine
+ * @is_idle: whether no request runs at the engine; called on this module's
+ *   thread
+ * @confirm: reads the store to check that the desired state is still the
+ *   declared one; called on this module's thread before an order begins and
+ *   again before it is sent. False, with an error set, abandons the order
+ * @context: passed to the functions above
+ * @term_us: term of a permit's lease
+ * @poll_us: interval of polls of the engine
  */
 struct pgw_orders_options {
     struct pgw_store *store;
@@ -89,26 +91,28 @@
         .term_us = 15000000, .poll_us = 500000                                \
     }
 
-/** pgw_orders_new() - start; does nothing before pgw_orders_want() */
+/** pgw_orders_new() - start the thread; it only resumes an earlier process's
+ * order until pgw_orders_set_desired() */
 struct pgw_orders *pgw_orders_new(const struct pgw_orders_options *options);
 
 /**
- * pgw_orders_free() - stop and wait for the thread
+ * pgw_orders_free() - stop and join the thread
  *
- * An order in progress is left to the successor: the engine loads anyway.
+ * An order in progress is left to the successor: the engine continues loading.
  */
 void pgw_orders_free(struct pgw_orders *orders);
 
 /**
- * pgw_orders_want() - what the configuration asks of the engine now
+ * pgw_orders_set_desired() - set the engine's desired state
  * @orders: the orders
- * @wanted: copied
- * @limit: orders at once in the pool, from pgw_permit_limit()
+ * @desired: desired state; copied
+ * @limit: maximum of concurrent orders in the pool, from pgw_permit_limit()
  */
-void pgw_orders_want(struct pgw_orders *orders,
-                     const struct pgw_rollout_wanted *wanted, unsigned limit);
+void pgw_orders_set_desired(struct pgw_orders *orders,
+                            const struct pgw_rollout_desired *desired,
+                            unsigned limit);
 
-/** pgw_orders_get_state() - any thread */
+/** pgw_orders_get_state() - copy the state; may be called on any thread */
 void pgw_orders_get_state(struct pgw_orders *orders,
                           struct pgw_orders_state *out);
 
--- a/src/libparsleygw/orders_engine.c
+++ b/src/libparsleygw/orders_engine.c
@@ -6,24 +6,25 @@
 #include "config_internal.h"
 #include "parsleygw/errors.h"
 
-#define TIMEOUT_MS 2000L
-#define ANSWER_MAX 65536
+#define CALL_TIMEOUT_MS 2000L
+#define RESPONSE_MAX_BYTES 65536
 
 static size_t
-take_answer(char *data, size_t size, size_t count, void *pointer)
+append_response(char *data, size_t size, size_t count, void *pointer)
 {
-    GString *answer = pointer;
+    GString *response = pointer;
 
-    if (answer->len + size * count > ANSWER_MAX) {
+    if (response->len + size * count > RESPONSE_MAX_BYTES) {
         return 0;
     }
-    g_string_append_len(answer, data, (gssize)(size * count));
+    g_string_append_len(response, data, (gssize)(size * count));
     return size * count;
 }
 
-/* GET, or POST with a body. Return: the HTTP status, 0 without an answer. */
+/* Sends GET, or POST with a body. Return: the HTTP status, 0 without a
+ * response. */
 static long
-call(GString *answer, const char *base, const char *path, const char *body,
+call(GString *response, const char *base, const char *path, const char *body,
      GError **error)
 {
     CURL *curl = curl_easy_init();
@@ -34,9 +35,9 @@
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_NOPROXY, "*");
-    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take_answer);
-    curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_response);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, response);
     if (body != NULL) {
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
     }
@@ -59,22 +60,22 @@
 {
     if (status != 0) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
-                    "engine%s: status %ld: check that upstream_url is the "
-                    "engine's",
+                    "engine%s: unexpected HTTP status %ld: check that "
+                    "upstream_url is the engine's",
                     path, status);
     }
     return false;
 }
 
 static char *
-member_text(JsonObject *object, const char *name)
+dup_text_member(JsonObject *object, const char *name)
 {
     return g_strdup(
         json_object_get_string_member_with_default(object, name, ""));
 }
 
 static char **
-member_list(JsonObject *object, const char *name)
+dup_list_member(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     GPtrArray *list = g_ptr_array_new();
@@ -96,11 +97,11 @@
 }
 
 bool
-pgw_orders__status(struct pgw_rollout_engine *out, const char *url,
-                   GError **error)
+pgw_orders__engine_status_get(struct pgw_rollout_engine *out, const char *url,
+                              GError **error)
 {
-    GString *answer = g_string_new(NULL);
-    long status = call(answer, url, "/status", NULL, error);
+    GString *response = g_string_new(NULL);
+    long status = call(response, url, "/status", NULL, error);
     JsonNode *document = NULL;
     JsonObject *object;
     bool ok = false;
@@ -109,17 +110,17 @@
         ok = set_status_error(status, "/status", error);
         goto done;
     }
-    document = pgw_config__json_parse(answer->str, (gssize)answer->len,
+    document = pgw_config__json_parse(response->str, (gssize)response->len,
                                       "engine/status", error);
     if (document == NULL) {
         goto done;
     }
     object = json_node_get_object(document);
     *out = (struct pgw_rollout_engine){
-        .model = member_text(object, "model"),
-        .version = member_text(object, "version"),
-        .role = member_text(object, "role"),
-        .adapters = member_list(object, "adapters"),
+        .model = dup_text_member(object, "model"),
+        .version = dup_text_member(object, "version"),
+        .role = dup_text_member(object, "role"),
+        .adapters = dup_list_member(object, "adapters"),
         .loading = json_object_get_boolean_member_with_default(
             object, "loading", FALSE),
         .fence = (uint64_t)json_object_get_int_member_with_default(
@@ -127,12 +128,12 @@
     ok = true;
 done:
     g_clear_pointer(&document, json_node_unref);
-    g_string_free(answer, TRUE);
+    g_string_free(response, TRUE);
     return ok;
 }
 
 void
-pgw_orders__status_dispose(struct pgw_rollout_engine *engine)
+pgw_orders__engine_status_dispose(struct pgw_rollout_engine *engine)
 {
     g_free(engine->model);
     g_free(engine->version);
@@ -149,7 +150,7 @@
 }
 
 static char *
-order_text(const struct pgw_permit_order *order, uint64_t fence)
+format_order(const struct pgw_permit_order *order, uint64_t fence)
 {
     JsonBuilder *builder = json_builder_new();
     JsonNode *root;
@@ -172,24 +173,24 @@
 }
 
 bool
-pgw_orders__send(const char *url, const struct pgw_permit_order *order,
-                 uint64_t fence, GError **error)
+pgw_orders__send_order(const char *url, const struct pgw_permit_order *order,
+                       uint64_t fence, GError **error)
 {
-    GString *answer = g_string_new(NULL);
-    char *body = order_text(order, fence);
-    long status = call(answer, url, "/orders", body, error);
+    GString *response = g_string_new(NULL);
+    char *body = format_order(order, fence);
+    long status = call(response, url, "/orders", body, error);
     bool ok = status == 200 || status == 202;
 
     if (status == 409) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_STALE,
-                    "engine/orders: number %" G_GUINT64_FORMAT
-                    " is old: acquire again",
+                    "engine/orders: fencing number %" G_GUINT64_FORMAT
+                    " is outdated: acquire a new permit",
                     fence);
     }
     else if (!ok) {
         set_status_error(status, "/orders", error);
     }
     g_free(body);
-    g_string_free(answer, TRUE);
+    g_string_free(response, TRUE);
     return ok;
 }
--- a/src/libparsleygw/permit.c
+++ b/src/libparsleygw/permit.c
@@ -1,4 +1,4 @@
-/* Decisions on permits: pure. */
+/* Decisions on permits, without I/O. */
 #include "parsleygw/permit.h"
 
 #include <string.h>
@@ -64,7 +64,7 @@
     return false;
 }
 
-/* One step's surroundings. */
+/* Inputs and result of one step. */
 struct decision {
     struct pgw_permit_table *table;
     const struct pgw_permit_request *request;
@@ -84,9 +84,9 @@
                                decision->term_us)) {
         return false;
     }
-    /* A started load goes on in the engine without its holder: giving its
-     * permit away would let one load more than declared run, and all of them
-     * slow down. */
+    /* A started load continues in the engine without its holder. Reclaiming
+     * its permit would let one load more than declared run and slow down all
+     * loads. */
 #ifndef PGW_DISABLE_PERMIT_STARTED
     return slot->phase == PGW_PERMIT_GRANTED ||
            (request->is_gone != NULL &&
@@ -105,7 +105,7 @@
 }
 
 static void
-reclaim(struct decision *decision)
+reclaim_lapsed(struct decision *decision)
 {
     struct pgw_permit_table *table = decision->table;
     size_t i = 0;
@@ -121,8 +121,8 @@
     }
 }
 
-/* Numbers of successive grants grow: each write is made against a higher
- * version than the one before. */
+/* Fencing numbers of successive grants grow, because each write expects a
+ * higher version than the write before. */
 static uint64_t
 next_fence(const struct pgw_permit_table *table)
 {
@@ -139,7 +139,8 @@
 
     if (table->n >= limit) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_OVERLOADED,
-                    "permit for %s: %zu of %u in use: wait for a release",
+                    "permit for %s: %zu of %u in use: wait until one is "
+                    "released",
                     request->target, table->n, limit);
         return false;
     }
@@ -153,7 +154,7 @@
     return true;
 }
 
-/* There is an order for the target already. */
+/* The target already has an order. */
 static bool
 acquire_existing(struct decision *decision, struct pgw_permit_slot *slot,
                  GError **error)
@@ -166,14 +167,14 @@
     if (!pgw_permit_has_lapsed(decision->observer, slot, decision->now_us,
                                decision->term_us)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_CONFLICT,
-                    "order for %s: carried out by %s: wait until it is "
-                    "released or lapses",
+                    "order for %s: in progress at %s: wait until it is "
+                    "released or its lease lapses",
                     slot->target, slot->holder);
         return false;
     }
-    /* The holder is dead or paused. Its successor goes on with what was
-     * started, under a higher number, so that an order which the old holder
-     * still sends when it wakes up is refused. */
+    /* The holder is dead or paused. Its successor resumes a started order
+     * under a higher number, so that an order sent by the old holder after its
+     * pause is rejected. */
 #ifndef PGW_DISABLE_PERMIT_FENCE
     slot->fence = next_fence(decision->table);
 #endif
@@ -198,7 +199,7 @@
         ok = acquire_existing(decision, &table->slots[i], error);
     }
     else {
-        reclaim(decision);
+        reclaim_lapsed(decision);
         i = table->n;
         ok = acquire_new(decision, error);
     }
@@ -209,25 +210,26 @@
 }
 
 static bool
-decide_held(struct decision *decision, struct pgw_permit_slot *out,
-            GError **error)
+decide_for_holder(struct decision *decision, struct pgw_permit_slot *out,
+                  GError **error)
 {
     const struct pgw_permit_request *request = decision->request;
     struct pgw_permit_table *table = decision->table;
     size_t i = find_index(table, request->target);
-    bool held = i < table->n && table->slots[i].fence == request->fence;
+    bool is_held = i < table->n && table->slots[i].fence == request->fence;
 
     if (request->step == PGW_PERMIT_RELEASE) {
-        if (held) {
+        if (is_held) {
             remove_slot(table, i);
             decision->write = true;
         }
         return true;
     }
-    if (!held) {
+    if (!is_held) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_STALE,
-                    "order for %s: number %" G_GUINT64_FORMAT
-                    " was reclaimed: do not send it, acquire again",
+                    "order for %s: permit with fencing number "
+                    "%" G_GUINT64_FORMAT
+                    " was reclaimed: acquire a new one before sending",
                     request->target, request->fence);
         return false;
     }
@@ -264,7 +266,7 @@
         ok = decide_acquire(&decision, slot, error);
     }
     else {
-        ok = decide_held(&decision, slot, error);
+        ok = decide_for_holder(&decision, slot, error);
     }
     *write = ok && decision.write;
     return ok;
@@ -280,22 +282,22 @@
 }
 
 bool
-pgw_permit_gate_admit(struct pgw_permit_gate *gate, uint64_t fence,
-                      GError **error)
+pgw_permit_fencing_admit(struct pgw_permit_fencing *fencing, uint64_t fence,
+                         GError **error)
 {
-    bool stale = fence < gate->high_water;
+    bool is_stale = fence < fencing->high_water;
 
 #ifdef PGW_DISABLE_PERMIT_GATE
-    stale = false;
+    is_stale = false;
 #endif
-    if (stale) {
+    if (is_stale) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_STALE,
-                    "order with number %" G_GUINT64_FORMAT
-                    ": %" G_GUINT64_FORMAT
-                    " went to the engine already: acquire again",
-                    fence, gate->high_water);
+                    "order with fencing number %" G_GUINT64_FORMAT
+                    " is outdated: the highest is %" G_GUINT64_FORMAT
+                    ": acquire a new permit",
+                    fence, fencing->high_water);
         return false;
     }
-    gate->high_water = MAX(gate->high_water, fence);
+    fencing->high_water = MAX(fencing->high_water, fence);
     return true;
 }
--- a/src/libparsleygw/permit_store.c
+++ b/src/libparsleygw/permit_store.c
@@ -1,11 +1,11 @@
-/* Permit objects in the store: their text, and steps as conditional writes. */
+/* Permit objects in the store: their JSON, and steps as conditional writes. */
 #include <string.h>
 
 #include "config_internal.h"
 #include "parsleygw/errors.h"
 #include "parsleygw/permit.h"
 
-#define RACE_PAUSE_US 20000
+#define CONFLICT_BACKOFF_US 20000
 
 static void
 read_text(char *out, size_t size, JsonObject *object, const char *member)
@@ -80,7 +80,7 @@
     if (!ok) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_INVALID,
                     "permit: slots: must be a list of at most %d objects: "
-                    "write {\"slots\":[]} to start over",
+                    "write {\"slots\":[]} to reset it",
                     PGW_PERMIT_SLOTS_MAX);
     }
     return ok;
@@ -137,8 +137,8 @@
     return text;
 }
 
-/* Writes a table; its version becomes the new one. A conflict or an outcome
- * that stays unknown is left to the caller, who reads again. */
+/* Writes a table and updates its version. After a conflict or an unknown
+ * outcome the caller must read the table again. */
 static bool
 write_table(struct pgw_permit_table *table, struct pgw_store *store,
             const char *scope, uint64_t deadline_us, GError **error)
@@ -159,8 +159,8 @@
     return ok;
 }
 
-/* A missing object is created empty first: a number derived from no version
- * at all could be lower than one given out before the object was deleted. */
+/* Creates a missing object empty first: a fencing number derived from version
+ * 0 could be smaller than one issued before the object was deleted. */
 static bool
 read_table(struct pgw_permit_table *table, struct pgw_store *store,
            const char *scope, uint64_t deadline_us, GError **error)
@@ -185,9 +185,9 @@
     return ok;
 }
 
-/* Races and read failures that another round may overcome. */
+/* Conflicts and failures that a retry may overcome. */
 static bool
-is_passing(const GError *error)
+is_transient_error(const GError *error)
 {
     return g_error_matches(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME) ||
            g_error_matches(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE) ||
@@ -195,12 +195,13 @@
            g_error_matches(error, PGW_ERROR, PGW_ERROR_CONFLICT);
 }
 
-/* One round. @passing: worth another one. */
+/* Reads, decides and writes once. @is_transient: receives whether a retry may
+ * succeed. */
 static bool
-run_round(struct pgw_permit_slot *slot, struct pgw_store *store,
-          const char *scope, const struct pgw_permit_request *request,
-          struct pgw_permit_observer *observer, uint64_t term_us,
-          uint64_t deadline_us, bool *passing, GError **error)
+try_step(struct pgw_permit_slot *slot, struct pgw_store *store,
+         const char *scope, const struct pgw_permit_request *request,
+         struct pgw_permit_observer *observer, uint64_t term_us,
+         uint64_t deadline_us, bool *is_transient, GError **error)
 {
     struct pgw_permit_table *table = g_new0(struct pgw_permit_table, 1);
     uint64_t now_us = (uint64_t)g_get_monotonic_time();
@@ -208,7 +209,7 @@
     bool ok;
 
     ok = read_table(table, store, scope, deadline_us, error);
-    *passing = !ok && is_passing(*error);
+    *is_transient = !ok && is_transient_error(*error);
     if (!ok) {
         goto done;
     }
@@ -217,7 +218,7 @@
                            term_us, error);
     if (ok && write) {
         ok = write_table(table, store, scope, deadline_us, error);
-        *passing = !ok && is_passing(*error);
+        *is_transient = !ok && is_transient_error(*error);
     }
 done:
     g_free(table);
@@ -225,19 +226,21 @@
 }
 
 bool
-pgw_permit_run(struct pgw_permit_slot *slot, struct pgw_store *store,
-               const char *scope, const struct pgw_permit_request *request,
-               struct pgw_permit_observer *observer, uint64_t term_us,
-               uint64_t deadline_us, GError **error)
+pgw_permit_run_step(struct pgw_permit_slot *slot, struct pgw_store *store,
+                    const char *scope,
+                    const struct pgw_permit_request *request,
+                    struct pgw_permit_observer *observer, uint64_t term_us,
+                    uint64_t deadline_us, GError **error)
 {
     GError *cause = NULL;
-    bool passing = false;
+    bool is_transient = false;
 
-    while (!run_round(slot, store, scope, request, observer, term_us,
-                      deadline_us, &passing, &cause)) {
-        gint64 pause = g_random_int_range(RACE_PAUSE_US / 2, RACE_PAUSE_US);
+    while (!try_step(slot, store, scope, request, observer, term_us,
+                     deadline_us, &is_transient, &cause)) {
+        gint64 pause =
+            g_random_int_range(CONFLICT_BACKOFF_US / 2, CONFLICT_BACKOFF_US);
 
-        if (!passing ||
+        if (!is_transient ||
             g_get_monotonic_time() + pause >= (gint64)deadline_us) {
             g_propagate_error(error, cause);
             return false;
--- a/src/sidecar/orders.c
+++ b/src/sidecar/orders.c
@@ -193,7 +193,7 @@
 static void
 tell_thread(struct orders *orders, const struct pgw_pool *pool)
 {
-    struct pgw_rollout_wanted wanted = {
+    struct pgw_rollout_desired wanted = {
         .model = pool->model,
         .version = pool->version,
         .adapters = (const char *const *)orders->adapters->pdata,
@@ -201,7 +201,7 @@
 
     orders->limit = orders_limit(orders, pool);
     orders->adapters_changed = false;
-    pgw_orders_want(orders->thread, &wanted, orders->limit);
+    pgw_orders_set_desired(orders->thread, &wanted, orders->limit);
     /* After it: a version that is confirmed for what was wanted before would
      * let that pass. */
     atomic_store(&orders->told, pool->object_version);
--- a/tests/failure/fail_orders.c
+++ b/tests/failure/fail_orders.c
@@ -81,8 +81,8 @@
 start_orders(struct fixture *f, unsigned i, const char *holder)
 {
     struct pgw_orders_options options = PGW_ORDERS_OPTIONS_INIT;
-    struct pgw_rollout_wanted wanted = {.model = "rulebook-7b",
-                                        .version = "w2"};
+    struct pgw_rollout_desired wanted = {.model = "rulebook-7b",
+                                         .version = "w2"};
     char *target = g_strdup_printf("u%u", i);
 
     options.store = f->store;
@@ -96,8 +96,8 @@
     options.term_us = TERM_US;
     options.poll_us = POLL_US;
     f->orders[i] = pgw_orders_new(&options);
-    pgw_orders_want(f->orders[i], &wanted,
-                    pgw_permit_limit(LOADS_MAX, ENGINES));
+    pgw_orders_set_desired(f->orders[i], &wanted,
+                           pgw_permit_limit(LOADS_MAX, ENGINES));
     g_free(target);
 }
 
@@ -112,10 +112,11 @@
     for (unsigned i = 0; i < ENGINES; i++) {
         struct pgw_rollout_engine engine;
 
-        g_assert_true(pgw_orders__status(&engine, f->urls[i], NULL));
+        g_assert_true(
+            pgw_orders__engine_status_get(&engine, f->urls[i], NULL));
         loading += engine.loading;
         moved += strcmp(engine.version, "w2") == 0;
-        pgw_orders__status_dispose(&engine);
+        pgw_orders__engine_status_dispose(&engine);
     }
     f->most_loading = MAX(f->most_loading, loading);
     return moved == ENGINES;
@@ -191,10 +192,10 @@
     start_orders(&f, 0, "second");
     g_assert_true(harness_wait_until(is_done, &f, LIMIT_S));
     g_assert_true(harness_wait_until(no_permit_taken, &f, LIMIT_S));
-    g_assert_true(pgw_orders__status(&engine, f.urls[0], NULL));
+    g_assert_true(pgw_orders__engine_status_get(&engine, f.urls[0], NULL));
     g_assert_cmpstr(engine.version, ==, "w2");
     g_assert_cmpuint(engine.fence, >, first.fence);
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     tear_down(&f);
 }
 
@@ -276,14 +277,14 @@
     g_assert_true(harness_wait_until(is_stopped, &stopping, LIMIT_S));
     start_orders(&f, 0, "second");
     g_assert_true(harness_wait_until(is_done, &f, LIMIT_S));
-    g_assert_true(pgw_orders__status(&engine, f.urls[0], NULL));
+    g_assert_true(pgw_orders__engine_status_get(&engine, f.urls[0], NULL));
     fence = engine.fence;
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     atomic_store(&stopping.resumed, true);
     g_assert_true(harness_wait_until(is_refused, stopped, LIMIT_S));
-    g_assert_true(pgw_orders__status(&engine, f.urls[0], NULL));
+    g_assert_true(pgw_orders__engine_status_get(&engine, f.urls[0], NULL));
     g_assert_cmpuint(engine.fence, ==, fence);
-    pgw_orders__status_dispose(&engine);
+    pgw_orders__engine_status_dispose(&engine);
     pgw_orders_free(stopped);
     tear_down(&f);
 }
@@ -302,9 +303,9 @@
     struct pgw_permit_observer observer = {.n = 0};
     GError *error = NULL;
 
-    pgw_permit_run(slot, f->store, "guide", &request, &observer, TERM_US,
-                   (uint64_t)g_get_monotonic_time() + 20 * G_USEC_PER_SEC,
-                   &error);
+    pgw_permit_run_step(slot, f->store, "guide", &request, &observer, TERM_US,
+                        (uint64_t)g_get_monotonic_time() + 20 * G_USEC_PER_SEC,
+                        &error);
     g_assert_no_error(error);
 }
 
@@ -316,7 +317,7 @@
 {
     struct fixture f;
     struct pgw_permit_slot paused = {.fence = 0};
-    struct pgw_permit_gate gate = {.high_water = 0};
+    struct pgw_permit_fencing gate = {.high_water = 0};
     struct pgw_rollout_engine engine;
     GError *error = NULL;
     bool sent;
@@ -329,13 +330,14 @@
     pgw_orders_free(f.orders[0]);
     f.orders[0] = NULL;
     /* What stood open was gone on with: first w3, whose order was written. */
-    g_assert_true(pgw_orders__status(&engine, f.urls[0], NULL));
+    g_assert_true(pgw_orders__engine_status_get(&engine, f.urls[0], NULL));
     g_assert_cmpuint(engine.fence, >, paused.fence);
     gate.high_water = engine.fence;
-    pgw_orders__status_dispose(&engine);
-    sent = (engine_checks ||
-            pgw_permit_gate_admit(&gate, paused.fence, &error)) &&
-           pgw_orders__send(f.urls[0], &paused.order, paused.fence, &error);
+    pgw_orders__engine_status_dispose(&engine);
+    sent =
+        (engine_checks ||
+         pgw_permit_fencing_admit(&gate, paused.fence, &error)) &&
+        pgw_orders__send_order(f.urls[0], &paused.order, paused.fence, &error);
     g_assert_false(sent);
     g_assert_error(error, PGW_ERROR, PGW_ERROR_STALE);
     g_clear_error(&error);
--- a/tests/property/prop_permit.cc
+++ b/tests/property/prop_permit.cc
@@ -1,7 +1,7 @@
-// Weight loads under crashes, pauses, lost answers and lapsed leases: a small
-// world with one store object, processes that carry out orders and engines
-// that load. A process may stop for any time between any two of its steps,
-// also between writing its start and sending the order.
+// Weight loads under crashes, pauses, lost replies and lapsed leases: a
+// simulation of one store object, processes that run orders and engines that
+// load. A process may pause for any time between any two of its steps, also
+// between writing the start and sending the order.
 #include <rapidcheck.h>
 
 #include <map>
@@ -15,39 +15,40 @@
 
 constexpr uint64_t term_us = 100;
 
-struct Engine {
-    bool checks = false;    // refuses old numbers itself
-    uint64_t mark = 0;      // highest number it was given
+struct SimulatedEngine {
+    bool checks_fence = false;  // rejects outdated fencing numbers itself
+    uint64_t highest_fence = 0; // highest fencing number received
     bool loading = false;
-    uint64_t arrived = 0;   // latest turn whose order arrived
+    uint64_t latest_turn = 0;   // latest turn whose order arrived
 };
 
 enum class Stage { idle, granted, started, sent };
 
-struct Process {
+struct SimulatedProcess {
     std::string name;
     size_t target;
     Stage stage = Stage::idle;
     uint64_t fence = 0;
-    uint64_t turn = 0; // which holder of the target's orders, counted
+    uint64_t turn = 0; // position in the sequence of holders
     pgw_permit_observer observer = {};
 };
 
-struct World {
+struct Simulation {
     unsigned limit;
     uint64_t now = 0;
     uint64_t version = 10; // the store's counter
     std::unique_ptr<pgw_permit_table> table{new pgw_permit_table()};
-    std::vector<Engine> engines;
-    std::vector<pgw_permit_gate> gates;
-    std::vector<Process> processes;
-    bool loses_answers = true;
-    std::map<size_t, uint64_t> highest; // number by target
+    std::vector<SimulatedEngine> engines;
+    std::vector<pgw_permit_fencing> fencing;
+    std::vector<SimulatedProcess> processes;
+    bool loses_replies = true;
+    std::map<size_t, uint64_t> highest_grant; // fencing number by target
     uint64_t last_turn = 0;
-    std::map<std::string, uint64_t> turns; // by holder and number
+    std::map<std::string, uint64_t> turns; // by holder and fencing number
 
-    // Counts the holders in the order of their grants, apart from numbers.
-    uint64_t turn_of(const pgw_permit_slot &slot)
+    // Numbers holders by the sequence of their grants, independently of fencing
+    // numbers.
+    uint64_t find_turn(const pgw_permit_slot &slot)
     {
         std::string key =
             std::string(slot.holder) + "/" + std::to_string(slot.fence);
@@ -64,16 +65,16 @@
     }
 };
 
-// One step of a process against the object as it is now. The write may be
-// made while its answer is lost: the process then does not move on.
+// Runs one step of a process against the current object. The write may succeed
+// although its reply is lost: the process then does not advance.
 bool
-take_step(World &world, Process &process, pgw_permit_step step,
-          pgw_permit_slot *slot)
+run_step(Simulation &simulation, SimulatedProcess &process,
+         pgw_permit_step step, pgw_permit_slot *slot)
 {
-    std::string target = world.target(process.target);
+    std::string target = simulation.target(process.target);
     struct pgw_permit_order order = {};
     struct pgw_permit_request request = {};
-    auto table = std::make_unique<pgw_permit_table>(*world.table);
+    auto table = std::make_unique<pgw_permit_table>(*simulation.table);
     bool write = false;
 
     g_strlcpy(order.kind, "load_version", sizeof(order.kind));
@@ -82,85 +83,87 @@
     request.target = target.c_str();
     request.fence = process.fence;
     request.order = &order;
-    request.limit = world.limit;
-    pgw_permit_observe(&process.observer, table.get(), world.now);
+    request.limit = simulation.limit;
+    pgw_permit_observe(&process.observer, table.get(), simulation.now);
     if (!pgw_permit_decide(table.get(), &write, slot, &request,
-                           &process.observer, world.now, term_us, nullptr)) {
+                           &process.observer, simulation.now, term_us,
+                           nullptr)) {
         process.stage = Stage::idle;
         return false;
     }
     if (write) {
-        // Through its text, as it would go through the store.
+        // Formats and parses the table, as a write to the store does.
         char *text = pgw_permit_table_format(table.get(), "n");
 
-        world.version += *rc::gen::inRange<uint64_t>(1, 5);
-        RC_ASSERT(pgw_permit_table_parse(world.table.get(), world.version,
-                                         text, nullptr));
+        simulation.version += *rc::gen::inRange<uint64_t>(1, 5);
+        RC_ASSERT(pgw_permit_table_parse(simulation.table.get(),
+                                         simulation.version, text, nullptr));
         g_free(text);
     }
-    return !world.loses_answers || *rc::gen::inRange(0, 5) != 0;
+    return !simulation.loses_replies || *rc::gen::inRange(0, 5) != 0;
 }
 
 void
-acquire(World &world, Process &process)
+acquire(Simulation &simulation, SimulatedProcess &process)
 {
     pgw_permit_slot slot = {};
-    uint64_t &highest = world.highest[process.target];
+    uint64_t &highest_grant = simulation.highest_grant[process.target];
 
-    if (!take_step(world, process, PGW_PERMIT_ACQUIRE, &slot)) {
+    if (!run_step(simulation, process, PGW_PERMIT_ACQUIRE, &slot)) {
         return;
     }
-    RC_ASSERT(slot.fence >= highest);
-    highest = slot.fence;
+    RC_ASSERT(slot.fence >= highest_grant);
+    highest_grant = slot.fence;
     process.fence = slot.fence;
-    process.turn = world.turn_of(slot);
+    process.turn = simulation.find_turn(slot);
     process.stage = Stage::granted;
 }
 
-// The order goes through the gate where the engine does not check.
+// Where the engine does not check fencing numbers, the sidecar does.
 void
-send(World &world, Process &process)
+send_order(Simulation &simulation, SimulatedProcess &process)
 {
-    Engine &engine = world.engines[process.target];
-    bool taken = engine.checks
-                     ? process.fence >= engine.mark
-                     : pgw_permit_gate_admit(&world.gates[process.target],
-                                             process.fence, nullptr);
-
-    process.stage = taken ? Stage::sent : Stage::idle;
-    if (!taken) {
+    SimulatedEngine &engine = simulation.engines[process.target];
+    bool is_accepted =
+        engine.checks_fence
+            ? process.fence >= engine.highest_fence
+            : pgw_permit_fencing_admit(&simulation.fencing[process.target],
+                                       process.fence, nullptr);
+
+    process.stage = is_accepted ? Stage::sent : Stage::idle;
+    if (!is_accepted) {
         return;
     }
-    // A holder that was replaced, and whose successor's order has arrived,
-    // does nothing to the engine any more.
-    RC_ASSERT(process.turn >= engine.arrived);
-    engine.arrived = process.turn;
-    engine.mark = process.fence;
+    // A replaced holder cannot affect the engine after its successor's order
+    // has arrived.
+    RC_ASSERT(process.turn >= engine.latest_turn);
+    engine.latest_turn = process.turn;
+    engine.highest_fence = process.fence;
     engine.loading = true;
 }
 
 void
-run(World &world, Process &process)
+run_next_step(Simulation &simulation, SimulatedProcess &process)
 {
     pgw_permit_slot slot = {};
 
     switch (process.stage) {
     case Stage::idle:
-        acquire(world, process);
+        acquire(simulation, process);
         break;
     case Stage::granted:
-        if (take_step(world, process, PGW_PERMIT_START, &slot)) {
+        if (run_step(simulation, process, PGW_PERMIT_START, &slot)) {
             process.stage = Stage::started;
         }
         break;
     case Stage::started:
-        send(world, process);
+        send_order(simulation, process);
         break;
     case Stage::sent:
-        if (world.engines[process.target].loading) {
-            take_step(world, process, PGW_PERMIT_RENEW, &slot);
+        if (simulation.engines[process.target].loading) {
+            run_step(simulation, process, PGW_PERMIT_RENEW, &slot);
         }
-        else if (take_step(world, process, PGW_PERMIT_RELEASE, &slot)) {
+        else if (run_step(simulation, process, PGW_PERMIT_RELEASE, &slot)) {
             process.stage = Stage::idle;
         }
         break;
@@ -168,9 +171,9 @@
 }
 
 void
-crash(Process &process)
+restart(SimulatedProcess &process)
 {
-    Process next;
+    SimulatedProcess next;
 
     next.name = process.name + "'";
     next.target = process.target;
@@ -180,112 +183,113 @@
 }
 
 void
-assert_limits(const World &world)
+assert_load_limits(const Simulation &simulation)
 {
     unsigned loading = 0;
 
-    RC_ASSERT(world.table->n <= world.limit);
-    for (const auto &engine : world.engines) {
+    RC_ASSERT(simulation.table->n <= simulation.limit);
+    for (const auto &engine : simulation.engines) {
         loading += engine.loading;
     }
-    RC_ASSERT(loading <= world.limit);
+    RC_ASSERT(loading <= simulation.limit);
 }
 
-World
-make_world()
+Simulation
+make_simulation()
 {
-    World world;
+    Simulation simulation;
     size_t engines = *rc::gen::inRange<size_t>(1, 5);
 
-    world.limit = *rc::gen::inRange(1u, 4u);
+    simulation.limit = *rc::gen::inRange(1u, 4u);
     for (size_t i = 0; i < engines; i++) {
-        Engine engine;
+        SimulatedEngine engine;
 
-        engine.checks = *rc::gen::arbitrary<bool>();
-        world.engines.push_back(engine);
-        world.gates.push_back({});
-        // Two processes for each engine: the old one may only be paused.
+        engine.checks_fence = *rc::gen::arbitrary<bool>();
+        simulation.engines.push_back(engine);
+        simulation.fencing.push_back({});
+        // Two processes for each engine: the old process may be paused, not
+        // dead.
         for (const char *suffix : {":1", ":2"}) {
-            Process process;
+            SimulatedProcess process;
 
-            process.name = world.target(i) + suffix;
+            process.name = simulation.target(i) + suffix;
             process.target = i;
-            world.processes.push_back(process);
+            simulation.processes.push_back(process);
         }
     }
-    world.table->version = world.version;
-    return world;
+    simulation.table->version = simulation.version;
+    return simulation;
 }
 
 bool
-check_world()
+check_limits()
 {
-    return rc::check("loads stay within the limit, old orders are refused", [] {
-        World world = make_world();
+    return rc::check("loads stay within the limit, old orders are rejected", [] {
+        Simulation simulation = make_simulation();
         int steps = *rc::gen::inRange(0, 150);
 
         for (int i = 0; i < steps; i++) {
-            auto &process = world.processes[*rc::gen::inRange<size_t>(
-                0, world.processes.size())];
-            auto &engine = world.engines[*rc::gen::inRange<size_t>(
-                0, world.engines.size())];
+            auto &process = simulation.processes[*rc::gen::inRange<size_t>(
+                0, simulation.processes.size())];
+            auto &engine = simulation.engines[*rc::gen::inRange<size_t>(
+                0, simulation.engines.size())];
 
             switch (*rc::gen::inRange(0, 10)) {
             case 0:
-                world.now += *rc::gen::inRange<uint64_t>(0, 2 * term_us);
+                simulation.now += *rc::gen::inRange<uint64_t>(0, 2 * term_us);
                 break;
             case 1:
-                crash(process);
+                restart(process);
                 break;
             case 2:
                 engine.loading = false;
                 break;
             default:
-                run(world, process);
+                run_next_step(simulation, process);
                 break;
             }
-            assert_limits(world);
+            assert_load_limits(simulation);
         }
     });
 }
 
-// After the trouble every engine gets its order: nothing is stuck for good.
+// After the faults every engine receives its order: no permit stays in use.
 bool
-check_resumes()
+check_resumption()
 {
     return rc::check("orders are resumed after crashes", [] {
-        World world = make_world();
+        Simulation simulation = make_simulation();
         int steps = *rc::gen::inRange(0, 60);
 
         for (int i = 0; i < steps; i++) {
-            auto &process = world.processes[*rc::gen::inRange<size_t>(
-                0, world.processes.size())];
+            auto &process = simulation.processes[*rc::gen::inRange<size_t>(
+                0, simulation.processes.size())];
 
             if (*rc::gen::inRange(0, 6) == 0) {
-                crash(process);
+                restart(process);
             }
             else {
-                run(world, process);
+                run_next_step(simulation, process);
             }
         }
-        std::vector<uint64_t> marks;
-        world.loses_answers = false;
-        for (auto &engine : world.engines) {
-            marks.push_back(engine.mark);
+        std::vector<uint64_t> fences_before;
+        simulation.loses_replies = false;
+        for (auto &engine : simulation.engines) {
+            fences_before.push_back(engine.highest_fence);
         }
         for (int round = 0; round < 100; round++) {
-            world.now += term_us / 2;
-            // Only the second process of each engine is still alive.
-            for (size_t i = 1; i < world.processes.size(); i += 2) {
-                run(world, world.processes[i]);
-                assert_limits(world);
+            simulation.now += term_us / 2;
+            // Only the second process of each engine still runs.
+            for (size_t i = 1; i < simulation.processes.size(); i += 2) {
+                run_next_step(simulation, simulation.processes[i]);
+                assert_load_limits(simulation);
             }
-            for (auto &engine : world.engines) {
+            for (auto &engine : simulation.engines) {
                 engine.loading = false;
             }
         }
-        for (size_t i = 0; i < marks.size(); i++) {
-            RC_ASSERT(world.engines[i].mark > marks[i]);
+        for (size_t i = 0; i < fences_before.size(); i++) {
+            RC_ASSERT(simulation.engines[i].highest_fence > fences_before[i]);
         }
     });
 }
@@ -295,7 +299,7 @@
 int
 main()
 {
-    bool ok = check_world();
+    bool ok = check_limits();
 
-    return check_resumes() && ok ? 0 : 1;
+    return check_resumption() && ok ? 0 : 1;
 }
