--- a/bench/placement/engine.c
+++ b/bench/placement/engine.c
@@ -185,7 +185,7 @@
     struct sim_job *job = what;
 
     job->is_read = true;
-    job->engine->long_reads -= job->missing >= PGW_LONG_PREFILL;
+    job->engine->long_reads -= job->missing >= PGW_LONG_PREFILL_TOKENS;
     if (job->version == sim->version) {
         hold(job->engine, job->key, job->part.tokens);
         hold(job->engine, ++sim->own_parts,
@@ -223,7 +223,7 @@
             held_anywhere(sim, job->key) ? job->part.tokens : 0;
     }
     job->missing = read;
-    engine->long_reads += read >= PGW_LONG_PREFILL;
+    engine->long_reads += read >= PGW_LONG_PREFILL_TOKENS;
     took = read_us(options, read, job->prompt.tokens - read);
     /* Out of memory: what began last is put back and read once more. */
     if (engine->kv_pinned > options->kv_tokens && engine->running > 1) {
--- a/bench/placement/entry.c
+++ b/bench/placement/entry.c
@@ -16,7 +16,8 @@
     entry->sim = sim;
     entry->zone = zone;
     entry->table = pgw_upstream_table_new(name);
-    pgw_upstream_table_set_divided(entry->table, sim->options.homes > 0);
+    pgw_upstream_table_set_remote_on_request(entry->table,
+                                             sim->options.homes > 0);
     entry->upstreams = g_new0(struct pgw_upstream *, sim->engine_count);
     for (unsigned i = 0; i < sim->engine_count; i++) {
         const struct sim_engine *engine = &sim->engines[i];
@@ -39,7 +40,7 @@
         g_snprintf(address, sizeof(address), "10.%u.%u.%u:80", engine->zone,
                    i / 250, i % 250 + 1);
         entry->upstreams[i] = pgw_upstream_table_put(entry->table, &facts);
-        entry->upstreams[i]->guarded = true;
+        entry->upstreams[i]->sidecar_is_reporting = true;
     }
 }
 
@@ -77,9 +78,9 @@
     job->sends++;
     job->counted = job->prompt.tokens + job->prompt.output_tokens;
     job->prefill = job->prompt.tokens - job->part.tokens + job->missing;
-    if (job->prefill >= PGW_LONG_PREFILL ||
-        !pgw_upstream_holds(upstream, job->key, job->part.tokens, true,
-                            sim->now_us)) {
+    if (job->prefill >= PGW_LONG_PREFILL_TOKENS ||
+        !pgw_upstream_has_part(upstream, job->key, job->part.tokens, true,
+                               sim->now_us)) {
         struct sim_announcement *announcement =
             g_new0(struct sim_announcement, 1);
 
@@ -91,14 +92,14 @@
             .memory = job->counted,
             .request = job->id,
         };
-        job->announced = job->prefill >= PGW_LONG_PREFILL;
+        job->announced = job->prefill >= PGW_LONG_PREFILL_TOKENS;
         sim_at(sim, sim->now_us + hop(job), expect, announcement);
     }
     pgw_recent_parts_add(&upstream->expected, job->key, sim->now_us);
     upstream->inflight++;
     upstream->inflight_tokens += job->counted;
     upstream->prefill_tokens += job->prefill;
-    upstream->long_prefills += job->prefill >= PGW_LONG_PREFILL;
+    upstream->long_prefills += job->prefill >= PGW_LONG_PREFILL_TOKENS;
     sim_at(sim, sim->now_us + hop(job), sim_engine_arrive, job);
 }
 
@@ -110,7 +111,7 @@
         pgw_recent_parts_add(&upstream->expected, part->key, now_us);
     }
     else {
-        pgw_upstream_hold(upstream, part->key, part->tokens);
+        pgw_upstream_set_cached_part(upstream, part->key, part->tokens);
     }
 }
 
@@ -141,7 +142,7 @@
         sim_at(sim, sim->now_us + hop(job), end_announcement, announcement);
     }
     upstream->prefill_tokens -= job->prefill;
-    upstream->long_prefills -= job->prefill >= PGW_LONG_PREFILL;
+    upstream->long_prefills -= job->prefill >= PGW_LONG_PREFILL_TOKENS;
     job->prefill = 0;
 }
 
@@ -204,7 +205,7 @@
         const struct sim_answer *answer = &job->answers[i];
         struct pgw_upstream *upstream = job->homes.items[i];
 
-        pgw_upstream_take_load(upstream, &answer->load, sim->now_us);
+        pgw_upstream_update_load(upstream, &answer->load, sim->now_us);
         sim_entry_take_part(upstream, &answer->part, sim->now_us);
     }
     place(sim, job);
@@ -230,7 +231,7 @@
     struct pgw_level_chain chain;
 
     job->homes.count = 0;
-    if (job->part.tokens >= PGW_LONG_PREFILL) {
+    if (job->part.tokens >= PGW_LONG_PREFILL_TOKENS) {
         pgw_prompt_chain(&chain, &job->prompt);
         pgw_homes_pick(&job->homes,
                        pgw_upstream_table_pool(job->entry->table, "s"), &chain,
@@ -280,6 +281,6 @@
     struct pgw_upstream *upstream = job->entry->upstreams[job->engine->index];
 
     leave(job);
-    pgw_upstream_note(upstream, PGW_RESULT_REFUSED, sim->now_us);
+    pgw_upstream_record_attempt(upstream, PGW_RESULT_REFUSED, sim->now_us);
     sim_at(sim, sim->now_us + hop(job), sim_entry_place, job);
 }
--- a/bench/placement/run.c
+++ b/bench/placement/run.c
@@ -245,7 +245,7 @@
     }
     for (unsigned i = 0; i < sim->entry_count; i++) {
         for (unsigned j = 0; j < sim->engine_count; j++) {
-            pgw_upstream_forget_parts(sim->entries[i].upstreams[j]);
+            pgw_upstream_clear_parts(sim->entries[i].upstreams[j]);
         }
     }
     if (sim->now_us < sim->end_us) {
--- a/bench/placement/sidecar.c
+++ b/bench/placement/sidecar.c
@@ -11,8 +11,8 @@
 current_load(const struct sim_engine *engine)
 {
     struct pgw_upstream_load load = engine->report;
-    struct pgw_unread unread =
-        pgw_announced_prompts_unread(&engine->announced);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(&engine->announced);
 
     load.running += engine->arrivals;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -46,7 +46,7 @@
         if (upstream->same_zone == far) {
             continue;
         }
-        pgw_upstream_take_load(upstream, &engine->told, sim->now_us);
+        pgw_upstream_update_load(upstream, &engine->told, sim->now_us);
         for (unsigned j = 0; j < words->len; j++) {
             sim_entry_take_part(
                 upstream, &g_array_index(words, struct pgw_part_update, j),
@@ -85,8 +85,8 @@
     uint64_t now = engine->sim->now_us;
 
     if (is_news(engine) &&
-        pgw_report_budget_has(&engine->budget,
-                              far_entries(&engine->sim->options), now)) {
+        pgw_report_budget_allows_report(
+            &engine->budget, far_entries(&engine->sim->options), now)) {
         engine->told = current_load(engine);
         engine->told_us = now;
         pgw_report_budget_spend(&engine->budget,
@@ -112,7 +112,7 @@
                    const struct sim_announcement *announcement)
 {
     engine->arrivals++;
-    if (announcement->to_read >= PGW_LONG_PREFILL) {
+    if (announcement->to_read >= PGW_LONG_PREFILL_TOKENS) {
         pgw_announced_prompts_add(&engine->announced, announcement->request,
                                   announcement->to_read, engine->sim->now_us);
     }
@@ -147,8 +147,8 @@
             work.reading++;
         }
     }
-    pgw_announced_prompts_report(&engine->announced, &work,
-                                 engine->sim->now_us);
+    pgw_announced_prompts_apply_report(&engine->announced, &work,
+                                       engine->sim->now_us);
     g_free(runs);
 }
 
--- a/src/gateway/announced_prompts.c
+++ b/src/gateway/announced_prompts.c
@@ -139,9 +139,9 @@
  * in their order.
  */
 void
-pgw_announced_prompts_report(struct pgw_announced_prompts *announced,
-                             const struct pgw_engine_work *work,
-                             uint64_t now_us)
+pgw_announced_prompts_apply_report(struct pgw_announced_prompts *announced,
+                                   const struct pgw_engine_work *work,
+                                   uint64_t now_us)
 {
     uint32_t unlisted = remove_ended(announced, work, now_us);
 
@@ -151,10 +151,10 @@
     }
 }
 
-struct pgw_unread
-pgw_announced_prompts_unread(const struct pgw_announced_prompts *announced)
+struct pgw_pending_prefill
+pgw_announced_prompts_pending(const struct pgw_announced_prompts *announced)
 {
-    struct pgw_unread unread = {0};
+    struct pgw_pending_prefill unread = {0};
     GHashTableIter iter;
     void *value;
 
--- a/src/gateway/announced_prompts.h
+++ b/src/gateway/announced_prompts.h
@@ -49,11 +49,11 @@
 };
 
 /**
- * struct pgw_unread - what an engine has before it
+ * struct pgw_pending_prefill - what an engine has before it
  * @tokens: prompt tokens that are left to be read
  * @prompts: long prompts of which some are
  */
-struct pgw_unread {
+struct pgw_pending_prefill {
     uint64_t tokens;
     uint32_t prompts;
 };
@@ -80,17 +80,19 @@
                                uint64_t id);
 
 /**
- * pgw_announced_prompts_report() - find in a report what has become of them
+ * pgw_announced_prompts_apply_report() - find in a report what has become of
+ * them
  * @announced: the requests
  * @work: the report
  * @now_us: monotonic time
  */
-void pgw_announced_prompts_report(struct pgw_announced_prompts *announced,
-                                  const struct pgw_engine_work *work,
-                                  uint64_t now_us);
+void
+pgw_announced_prompts_apply_report(struct pgw_announced_prompts *announced,
+                                   const struct pgw_engine_work *work,
+                                   uint64_t now_us);
 
-/** pgw_announced_prompts_unread() - what is left to be read */
-struct pgw_unread
-pgw_announced_prompts_unread(const struct pgw_announced_prompts *announced);
+/** pgw_announced_prompts_pending() - what is left to be read */
+struct pgw_pending_prefill
+pgw_announced_prompts_pending(const struct pgw_announced_prompts *announced);
 
 #endif
--- a/src/gateway/attempt.c
+++ b/src/gateway/attempt.c
@@ -30,18 +30,19 @@
 }
 
 void
-pgw_attempt_end_prefill(struct pgw_exchange *exchange)
+pgw_attempt_count_prefill_end(struct pgw_exchange *exchange)
 {
     struct pgw_upstream *upstream = exchange->upstream;
 
     end_announcement(exchange);
     upstream->prefill_tokens -= exchange->prefill_tokens;
-    upstream->long_prefills -= exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills -=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     exchange->prefill_tokens = 0;
 }
 
 void
-pgw_attempt_leave(struct pgw_exchange *exchange)
+pgw_attempt_count_end(struct pgw_exchange *exchange)
 {
     struct pgw_upstream *upstream = exchange->upstream;
 
@@ -50,25 +51,27 @@
     }
     upstream->inflight--;
     upstream->inflight_tokens -= exchange->counted_tokens;
-    pgw_attempt_end_prefill(exchange);
+    pgw_attempt_count_prefill_end(exchange);
     exchange->counted_tokens = 0;
     exchange->upstream = NULL;
     pgw_upstream_unref(upstream);
 }
 
 void
-pgw_attempt_enter(struct pgw_exchange *exchange,
-                  const struct pgw_choice *choice)
+pgw_attempt_count_start(struct pgw_exchange *exchange,
+                        const struct pgw_choice *choice)
 {
     struct pgw_upstream *upstream = pgw_upstream_ref(choice->upstream);
     const struct pgw_prompt *prompt = &exchange->facts.prompt;
 
-    pgw_upstream_probe(upstream, pgw_now_us());
+    pgw_upstream_schedule_probe(upstream, pgw_now_us());
     exchange->upstream = upstream;
     exchange->missing_tokens = choice->missing_tokens;
-    exchange->load_seen = pgw_upstream_load_estimate(upstream, pgw_now_us());
-    exchange->load_age_us =
-        upstream->load_at_us == 0 ? 0 : pgw_now_us() - upstream->load_at_us;
+    exchange->load_at_choice =
+        pgw_upstream_load_estimate(upstream, pgw_now_us());
+    exchange->load_age_us = upstream->load_reported_at_us == 0
+                                ? 0
+                                : pgw_now_us() - upstream->load_reported_at_us;
     upstream->inflight++;
     if (exchange->facts.model != NULL) {
         uint32_t own = prompt->part_count == 0
@@ -80,22 +83,24 @@
     }
     upstream->inflight_tokens += exchange->counted_tokens;
     upstream->prefill_tokens += exchange->prefill_tokens;
-    upstream->long_prefills += exchange->prefill_tokens >= PGW_LONG_PREFILL;
+    upstream->long_prefills +=
+        exchange->prefill_tokens >= PGW_LONG_PREFILL_TOKENS;
     if (exchange->tried_count < PGW_TRIED_MAX) {
         exchange->tried[exchange->tried_count++] = pgw_upstream_ref(upstream);
     }
 }
 
 void
-pgw_attempt_note(struct pgw_exchange *exchange, enum pgw_attempt_result result)
+pgw_attempt_record_result(struct pgw_exchange *exchange,
+                          enum pgw_attempt_result result)
 {
-    pgw_upstream_note(exchange->upstream, result, pgw_now_us());
+    pgw_upstream_record_attempt(exchange->upstream, result, pgw_now_us());
 }
 
 /* Whether the request may be sent to another upstream although this one may
  * have run it. */
 bool
-pgw_attempt_may_repeat(const struct pgw_exchange *exchange)
+pgw_attempt_may_retry(const struct pgw_exchange *exchange)
 {
     const struct pgw_route *route = exchange->route;
 
@@ -117,7 +122,7 @@
 }
 
 bool
-pgw_attempt_take_repeat(struct pgw_exchange *exchange)
+pgw_attempt_take_retry(struct pgw_exchange *exchange)
 {
     if (exchange->sends >= SENDS_MAX || exchange->caller == NULL ||
         !pgw_retry_budgets_withdraw(exchange->gateway->budgets,
@@ -147,42 +152,42 @@
     exchange->status = 0;
     exchange->not_run = false;
     exchange->is_stream = false;
-    pgw_event_stream_restart(&exchange->events);
+    pgw_event_stream_discard_partial(&exchange->events);
 }
 
 void
-pgw_attempt_give_up(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_abandon(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     exchange->may_have_run = true;
     pgw_exchange_refuse(exchange, 502, why, 0);
 }
 
 void
-pgw_attempt_repeat(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_retry(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
     exchange->may_have_run = true;
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
 /* Nobody ran it: another upstream may, within the budget. */
 void
-pgw_attempt_not_run(struct pgw_exchange *exchange, const char *why,
-                    bool arrived)
+pgw_attempt_handle_not_run(struct pgw_exchange *exchange, const char *why,
+                           bool arrived)
 {
     log_attempt(exchange, why);
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     if (exchange->caller == NULL) {
         pgw_exchange_finish(exchange, "caller_gone");
         return;
     }
     /* What did not arrive anywhere costs no upstream anything. */
-    if (arrived ? !pgw_attempt_take_repeat(exchange)
+    if (arrived ? !pgw_attempt_take_retry(exchange)
                 : exchange->sends >= SENDS_MAX) {
         if (exchange->phase == PGW_PHASE_RELAYING || exchange->may_have_run) {
             pgw_exchange_refuse(exchange, 502, "upstream_lost", 0);
@@ -193,26 +198,26 @@
         return;
     }
     reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
 /* The outcome at this upstream is not known. */
 void
-pgw_attempt_unknown(struct pgw_exchange *exchange, const char *why)
+pgw_attempt_handle_unknown(struct pgw_exchange *exchange, const char *why)
 {
     log_attempt(exchange, why);
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
     exchange->may_have_run = true;
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     if (exchange->caller == NULL) {
         pgw_exchange_finish(exchange, "caller_gone");
         return;
     }
-    if (!pgw_attempt_may_repeat(exchange) ||
-        !pgw_attempt_take_repeat(exchange)) {
+    if (!pgw_attempt_may_retry(exchange) ||
+        !pgw_attempt_take_retry(exchange)) {
         pgw_exchange_refuse(exchange, 502, "upstream_lost", 0);
         return;
     }
     reset_answer(exchange);
-    pgw_exchange_place(exchange);
+    pgw_exchange_dispatch(exchange);
 }
--- a/src/gateway/cached_parts.c
+++ b/src/gateway/cached_parts.c
@@ -57,7 +57,7 @@
     parts->epoch = 0;
     parts->next = 0;
     parts->reset = true;
-    parts->far_reset = true;
+    parts->remote_reset = true;
 }
 
 static uint32_t
@@ -173,7 +173,8 @@
 bool
 pgw_cached_parts_has_changes(const struct pgw_cached_parts *parts, bool far)
 {
-    return far ? parts->far_reset || g_hash_table_size(parts->far_changed) > 0
+    return far ? parts->remote_reset ||
+                     g_hash_table_size(parts->far_changed) > 0
                : parts->reset || g_hash_table_size(parts->near_changed) > 0;
 }
 
@@ -278,7 +279,7 @@
     }
     count_as_told(parts, words, far);
     if (far) {
-        parts->far_reset = false;
+        parts->remote_reset = false;
     }
     else {
         parts->reset = false;
@@ -287,7 +288,7 @@
 }
 
 GArray *
-pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far)
+pgw_cached_parts_snapshot(const struct pgw_cached_parts *parts, bool far)
 {
     GArray *words = g_array_new(FALSE, FALSE, sizeof(struct pgw_part_update));
     GHashTableIter iter;
--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -75,7 +75,7 @@
  * @far_changed: keys to be told to the others
  * @far_known: key -> tokens, as the others were told
  * @reset: what was told before is void
- * @far_reset: the same for the others
+ * @remote_reset: the same for the others
  */
 struct pgw_cached_parts {
     uint64_t epoch;
@@ -89,7 +89,7 @@
     GHashTable *far_changed;
     GHashTable *far_known;
     bool reset;
-    bool far_reset;
+    bool remote_reset;
 };
 
 void pgw_cached_parts_init(struct pgw_cached_parts *parts);
@@ -139,8 +139,9 @@
 GArray *pgw_cached_parts_changes(struct pgw_cached_parts *parts, bool far,
                                  size_t most);
 
-/** pgw_cached_parts_all() - all that an entry which is new has to know; array
- * of &struct pgw_part_update, owned by the caller */
-GArray *pgw_cached_parts_all(const struct pgw_cached_parts *parts, bool far);
+/** pgw_cached_parts_snapshot() - all that an entry which is new has to know;
+ * array of &struct pgw_part_update, owned by the caller */
+GArray *pgw_cached_parts_snapshot(const struct pgw_cached_parts *parts,
+                                  bool far);
 
 #endif
--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -316,7 +316,7 @@
             return data != NULL;
         }
         if (result != PGW_HTTP_DONE) {
-            connection_fail(connection, PGW_CALL_GARBLED);
+            connection_fail(connection, PGW_CALL_MALFORMED);
             return false;
         }
         if (!connection->skipping) {
@@ -551,12 +551,13 @@
 }
 
 void
-pgw_call_trace(struct pgw_call_trace *out, const struct pgw_call *call)
+pgw_call_socket_state(struct pgw_call_socket_state *out,
+                      const struct pgw_call *call)
 {
     int fd = call->connection->watch.fd;
     struct pgw_address own = {.size = sizeof(own.storage)};
 
-    *out = (struct pgw_call_trace){.unacked = -1};
+    *out = (struct pgw_call_socket_state){.unacked = -1};
     if (getsockname(fd, (struct sockaddr *)&own.storage, &own.size) == 0) {
         out->port = pgw_address_port(&own);
     }
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -20,13 +20,13 @@
  * enum pgw_call_failure - why a call has no whole answer
  * @PGW_CALL_NO_CONNECTION: no connection was established; nothing was sent
  * @PGW_CALL_CLOSED: the peer closed or reset the connection
- * @PGW_CALL_GARBLED: what came is no answer
+ * @PGW_CALL_MALFORMED: what came is no answer
  * @PGW_CALL_TIMEOUT: the owner's deadline of the call passed
  */
 enum pgw_call_failure {
     PGW_CALL_NO_CONNECTION,
     PGW_CALL_CLOSED,
-    PGW_CALL_GARBLED,
+    PGW_CALL_MALFORMED,
     PGW_CALL_TIMEOUT,
 };
 
@@ -154,18 +154,20 @@
 }
 
 /**
- * struct pgw_call_trace - what the socket of a running call tells, for logs
+ * struct pgw_call_socket_state - what the socket of a running call tells, for
+ * logs
  * @port: local port, 0: not known
  * @unacked: bytes of the request that the peer's machine has not acknowledged,
  *   -1: not known
  */
-struct pgw_call_trace {
+struct pgw_call_socket_state {
     unsigned port;
     int unacked;
 };
 
-/** pgw_call_trace() - read it; the call must be running */
-void pgw_call_trace(struct pgw_call_trace *out, const struct pgw_call *call);
+/** pgw_call_socket_state() - read it; the call must be running */
+void pgw_call_socket_state(struct pgw_call_socket_state *out,
+                           const struct pgw_call *call);
 
 /** pgw_call_pause() - stop or go on reading the answer */
 void pgw_call_pause(struct pgw_call *call, bool pause);
--- a/src/gateway/caller.c
+++ b/src/gateway/caller.c
@@ -107,8 +107,8 @@
     caller->busy = false;
     caller_close(caller);
     if (busy) {
-        caller->gone_late_us = pgw_loop_late_us(caller->server->loop);
-        pgw_metric_histogram_record_us(&gone_late, caller->gone_late_us);
+        caller->gone_unnoticed_us = pgw_loop_late_us(caller->server->loop);
+        pgw_metric_histogram_record_us(&gone_late, caller->gone_unnoticed_us);
         caller->server->ops->on_gone(caller, caller->server->context);
     }
 }
@@ -254,7 +254,7 @@
         size_t taken;
 
         if (!caller->started) {
-            caller->head_at_us = pgw_now_us();
+            caller->received_at_us = pgw_now_us();
             caller->reader.head_limit = server->limits.head_bytes;
             set_started(caller, true);
             start_timer(caller, server->limits.head_timeout_ms);
@@ -637,7 +637,7 @@
 }
 
 unsigned
-pgw_caller_server_busy(const struct pgw_caller_server *server)
+pgw_caller_server_request_count(const struct pgw_caller_server *server)
 {
     return server->busy;
 }
--- a/src/gateway/caller.h
+++ b/src/gateway/caller.h
@@ -23,16 +23,17 @@
  * @head: head of the current request, valid until the answer ends
  * @body: its whole body
  * @owner: the owner's data for the current request
- * @head_at_us: when the first byte of the request was read
- * @gone_late_us: once it is gone: for how long that may have gone unnoticed
+ * @received_at_us: when the first byte of the request was read
+ * @gone_unnoticed_us: once it is gone: for how long that may have gone
+ * unnoticed
  */
 struct pgw_caller {
     struct pgw_caller_server *server;
     const struct pgw_http_head *head;
     struct pgw_buffer body;
     void *owner;
-    uint64_t head_at_us;
-    uint64_t gone_late_us;
+    uint64_t received_at_us;
+    uint64_t gone_unnoticed_us;
     /* the rest belongs to caller.c */
     struct pgw_loop_fd watch;
     struct pgw_list in_server;
@@ -126,8 +127,10 @@
 /** pgw_caller_server_close_idle() - accept no more and close idle ones */
 void pgw_caller_server_close_idle(struct pgw_caller_server *server);
 
-/** pgw_caller_server_busy() - number of requests being read or answered */
-unsigned pgw_caller_server_busy(const struct pgw_caller_server *server);
+/** pgw_caller_server_request_count() - number of requests being read or
+ * answered */
+unsigned
+pgw_caller_server_request_count(const struct pgw_caller_server *server);
 
 /** pgw_caller_server_free() - close everything; no callbacks follow */
 void pgw_caller_server_free(struct pgw_caller_server *server);
--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -140,7 +140,7 @@
 static bool
 is_weighed_whole(const struct pgw_upstream_pool *pool)
 {
-    return !pool->divided && pool->all->len <= PGW_CANDIDATES_MAX;
+    return !pool->remote_on_request && pool->all->len <= PGW_CANDIDATES_MAX;
 }
 
 void
@@ -164,7 +164,7 @@
 void
 pgw_candidates_pick(struct pgw_candidates *out,
                     const struct pgw_upstream_pool *pool,
-                    enum pgw_candidates_from from,
+                    enum pgw_candidates_scope from,
                     const struct pgw_homes *homes,
                     const struct pgw_level_chain *chain, uint64_t random,
                     uint64_t now_us)
@@ -179,15 +179,15 @@
         append(out, homes->items[i], (uint32_t)i);
     }
     out->home_count = out->count;
-    if (from == PGW_CANDIDATES_ANYWHERE) {
+    if (from == PGW_CANDIDATES_ALL_ZONES) {
         drawn = DRAWN_ANYWHERE;
     }
-    else if (!out->all && pool->near->len >= NEAR_MIN) {
-        source = pool->near;
+    else if (!out->all && pool->local->len >= NEAR_MIN) {
+        source = pool->local;
     }
     /* Of engines in other zones that do not report nothing is known, and each
      * looks idle: some are drawn, so that not all take the first in rank. */
-    known = out->all || source == pool->near;
+    known = out->all || source == pool->local;
     if (known && source->len <= PGW_CANDIDATES_MAX) {
         add_all(out, source, random);
     }
--- a/src/gateway/candidates.h
+++ b/src/gateway/candidates.h
@@ -35,14 +35,14 @@
 };
 
 /**
- * enum pgw_candidates_from - where candidates are looked for
- * @PGW_CANDIDATES_NEAR: in the entry's own zone, if the pool is large and the
- *   zone has a fair number
- * @PGW_CANDIDATES_ANYWHERE: in all zones: nobody nearby could take it
+ * enum pgw_candidates_scope - where candidates are looked for
+ * @PGW_CANDIDATES_LOCAL_ZONE: in the entry's own zone, if the pool is large
+ * and the zone has a fair number
+ * @PGW_CANDIDATES_ALL_ZONES: in all zones: nobody nearby could take it
  */
-enum pgw_candidates_from {
-    PGW_CANDIDATES_NEAR,
-    PGW_CANDIDATES_ANYWHERE,
+enum pgw_candidates_scope {
+    PGW_CANDIDATES_LOCAL_ZONE,
+    PGW_CANDIDATES_ALL_ZONES,
 };
 
 /* Homes of a prompt: the first in rank of a pool that is not weighed whole. */
@@ -83,7 +83,7 @@
  */
 void pgw_candidates_pick(struct pgw_candidates *out,
                          const struct pgw_upstream_pool *pool,
-                         enum pgw_candidates_from from,
+                         enum pgw_candidates_scope from,
                          const struct pgw_homes *homes,
                          const struct pgw_level_chain *chain, uint64_t random,
                          uint64_t now_us);
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -15,12 +15,12 @@
         enum pgw_mechanism mechanism;
         double *weight;
     } weights[] = {
-        {PGW_LOAD_NEXT, &options->delay_share},
-        {PGW_WEIGHTS_PRICE, &options->old_ms},
-        {PGW_PROMPT_RANK, &options->rank_share},
-        {PGW_PROMPT_RANK, &options->rank_tokens},
-        {PGW_LONG_PREFILLS, &options->long_prefill_tokens},
-        {PGW_CROWD_HARM, &options->harm_share},
+        {PGW_MECHANISM_LOAD_NEXT, &options->load_delay_weight},
+        {PGW_MECHANISM_OLD_WEIGHTS_COST, &options->old_weights_cost_ms},
+        {PGW_MECHANISM_PROMPT_RANK, &options->rank_share},
+        {PGW_MECHANISM_PROMPT_RANK, &options->rank_tokens},
+        {PGW_MECHANISM_LONG_PREFILLS, &options->long_prefill_tokens},
+        {PGW_MECHANISM_PREFILL_INTERFERENCE, &options->harm_share},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(weights); i++) {
@@ -28,8 +28,9 @@
             *weights[i].weight = 0;
         }
     }
-    options->back_off = pgw_policy_is_on(policy, PGW_REFUSAL_REST);
-    if (!pgw_policy_is_on(policy, PGW_ENGINE_FETCH)) {
+    options->refusal_backoff_enabled =
+        pgw_policy_is_on(policy, PGW_MECHANISM_REFUSAL_BACKOFF);
+    if (!pgw_policy_is_on(policy, PGW_MECHANISM_ENGINE_FETCH)) {
         options->fetch_min_tokens = UINT32_MAX;
     }
 }
@@ -65,7 +66,7 @@
     double rounds = (load + 1.0) / upstream->slots;
     double cost = rounds;
 
-    if (rounds > options->plain_depth) {
+    if (rounds > options->plain_max_load) {
         return DBL_MAX;
     }
     /* Half a round is what a call may wait before it crosses to another
@@ -73,7 +74,7 @@
     if (!upstream->same_zone) {
         cost += 0.5;
     }
-    if (now_us < upstream->cold_until_us) {
+    if (now_us < upstream->warmup_until_us) {
         cost += 0.5;
     }
     /* An upstream that fails every second call is worth half a round more. */
@@ -152,8 +153,8 @@
     for (size_t i = 0; i + 1 < prompt->part_count; i++) {
         uint64_t key = pgw_part_key(input->model, salt, prompt->parts[i].id);
 
-        if (!pgw_upstream_holds(upstream, key, prompt->parts[i].tokens,
-                                expected, input->now_us)) {
+        if (!pgw_upstream_has_part(upstream, key, prompt->parts[i].tokens,
+                                   expected, input->now_us)) {
             break;
         }
         missing -= prompt->parts[i].tokens;
@@ -199,9 +200,10 @@
              const struct pgw_choose_input *input,
              const struct pgw_choose_options *options)
 {
-    return upstream->prefill_tokens == 0 || input->read_rate <= 0 ||
+    return upstream->prefill_tokens == 0 ||
+           input->prefill_tokens_per_ms <= 0 ||
            (double)(upstream->prefill_tokens + tokens) <=
-               options->reading_ms * input->read_rate;
+               options->reading_ms * input->prefill_tokens_per_ms;
 }
 
 /* The engine that lacks least of the prompt by its sidecar's word and could
@@ -266,15 +268,16 @@
 /* What was announced is known; of the rest the number of prompts is. */
 static double
 reading_for_others(const struct pgw_upstream *upstream,
-                   const struct pgw_choose_options *options, double read_rate,
-                   uint64_t now_us)
+                   const struct pgw_choose_options *options,
+                   double prefill_tokens_per_ms, uint64_t now_us)
 {
     if (options->long_prefill_tokens <= 0) {
         return 0;
     }
     return upstream->load.unread > 0
-               ? pgw_upstream_unread(upstream, read_rate, now_us)
-               : pgw_upstream_long_prefills(upstream, now_us) *
+               ? pgw_upstream_others_pending_tokens(
+                     upstream, prefill_tokens_per_ms, now_us)
+               : pgw_upstream_others_long_prefills(upstream, now_us) *
                      options->long_prefill_tokens;
 }
 
@@ -302,7 +305,7 @@
         (is_home(survey, position) || survey->missing[position] == 0) &&
         pgw_upstream_version(upstream, input->model) >=
             input->newest_version &&
-        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL;
+        pgw_prompt_shared(input->prompt) >= PGW_LONG_PREFILL_TOKENS;
 
     return (affine ? options->home_depth : options->engine_depth) *
            upstream->slots;
@@ -320,9 +323,9 @@
                  const struct pgw_choose_options *options)
 {
     double there = upstream->long_prefills +
-                   pgw_upstream_long_prefills(upstream, input->now_us);
+                   pgw_upstream_others_long_prefills(upstream, input->now_us);
 
-    return tokens < PGW_LONG_PREFILL ||
+    return tokens < PGW_LONG_PREFILL_TOKENS ||
            there < MAX(options->long_share * upstream->slots, 1);
 }
 
@@ -362,12 +365,12 @@
                        input, options))) {
         return DBL_MAX;
     }
-    if (version < input->least_version) {
+    if (version < input->min_version) {
         return DBL_MAX;
     }
-    cost =
-        (double)upstream->prefill_tokens +
-        reading_for_others(upstream, options, input->read_rate, input->now_us);
+    cost = (double)upstream->prefill_tokens +
+           reading_for_others(upstream, options, input->prefill_tokens_per_ms,
+                              input->now_us);
     cost += missing_cost(upstream, survey->missing[position], input, options,
                          survey);
     cost += crowd_cost(upstream,
@@ -375,14 +378,16 @@
                        options, input->now_us);
     cost += survey->candidates.rank[position] * rank_tokens;
     cost += stray_cost(position, input, options, survey);
-    if (upstream->loads_next) {
-        cost += MAX(input->run_ms - input->turn_ms, 0) * options->delay_share *
-                input->read_rate;
+    if (upstream->is_next_to_load) {
+        cost += MAX(input->run_ms - input->load_wait_ms, 0) *
+                options->load_delay_weight * input->prefill_tokens_per_ms;
     }
     if (!upstream->same_zone) {
         cost += (double)input->size * options->zone_tokens_per_kb / 1024;
     }
-    cost += version < input->version ? options->old_ms * input->read_rate : 0;
+    cost += version < input->version
+                ? options->old_weights_cost_ms * input->prefill_tokens_per_ms
+                : 0;
     return cost + upstream->failure_rate * options->failing_tokens;
 }
 
@@ -399,7 +404,7 @@
 
 static void
 make_survey(struct survey *out, const struct pgw_choose_input *input,
-            enum pgw_candidates_from from)
+            enum pgw_candidates_scope from)
 {
     struct pgw_candidates *candidates = &out->candidates;
     struct pgw_level_chain chain;
@@ -473,7 +478,7 @@
 {
     /* A plain service that is full has a place again within milliseconds, and
      * an engine that refuses once may have meant a long prompt. */
-    if (!options->back_off || input->prompt == NULL ||
+    if (!options->refusal_backoff_enabled || input->prompt == NULL ||
         upstream->refusals < REFUSALS_IN_A_ROW ||
         input->now_us >= upstream->full_until_us) {
         return false;
@@ -523,7 +528,7 @@
 static struct pgw_upstream *
 cheapest_of(struct pgw_choice *out, const struct pgw_choose_input *input,
             const struct pgw_choose_options *options, struct survey *survey,
-            enum pgw_candidates_from from)
+            enum pgw_candidates_scope from)
 {
     struct pgw_upstream *upstream;
 
@@ -544,10 +549,10 @@
         return;
     }
     out->upstream =
-        cheapest_of(out, input, options, &survey, PGW_CANDIDATES_NEAR);
+        cheapest_of(out, input, options, &survey, PGW_CANDIDATES_LOCAL_ZONE);
     if (out->upstream == NULL && !survey.candidates.all) {
-        out->upstream =
-            cheapest_of(out, input, options, &survey, PGW_CANDIDATES_ANYWHERE);
+        out->upstream = cheapest_of(out, input, options, &survey,
+                                    PGW_CANDIDATES_ALL_ZONES);
     }
     if (out->upstream == NULL || input->prompt == NULL) {
         return;
--- a/src/gateway/choose.h
+++ b/src/gateway/choose.h
@@ -68,8 +68,8 @@
 
 /**
  * struct pgw_choose_options - thresholds of the choice
- * @plain_depth: a plain upstream gets no more than this times its slots: its
- *   own short queue hides the time between two answers
+ * @plain_max_load: a plain upstream gets no more than this times its slots:
+ * its own short queue hides the time between two answers
  * @engine_depth: the same for engines, whose queue only delays
  * @home_depth: the same for homes of a prompt and for holders of its parts, in
  *   pools that are not weighed whole
@@ -106,15 +106,17 @@
  * @fetch_min_tokens: less is read again rather than fetched; a fetch takes
  *   about two milliseconds
  * @failing_tokens: cost of an upstream that fails always
- * @old_ms: cost of older weights, in milliseconds of an engine's reading
- * @delay_share: what each millisecond costs that a request will run beyond the
- *   turn of an engine which is among the next to load, as a part of what an
- *   engine reads in it: until its runs have ended it serves nobody
- * @back_off: engines that refuse several times in a row are left alone
+ * @old_weights_cost_ms: cost of older weights, in milliseconds of an engine's
+ * reading
+ * @load_delay_weight: what each millisecond costs that a request will run
+ * beyond the turn of an engine which is among the next to load, as a part of
+ * what an engine reads in it: until its runs have ended it serves nobody
+ * @refusal_backoff_enabled: engines that refuse several times in a row are
+ * left alone
  * @bad_rate: failure rate above which an upstream counts as unhealthy
  */
 struct pgw_choose_options {
-    double plain_depth;
+    double plain_max_load;
     double engine_depth;
     double home_depth;
     double long_share;
@@ -133,22 +135,23 @@
     double fetch_share;
     uint32_t fetch_min_tokens;
     double failing_tokens;
-    double old_ms;
-    double delay_share;
-    bool back_off;
+    double old_weights_cost_ms;
+    double load_delay_weight;
+    bool refusal_backoff_enabled;
     double bad_rate;
 };
 
 #define PGW_CHOOSE_OPTIONS_INIT                                               \
     {                                                                         \
-        .plain_depth = 2.0, .engine_depth = 1.0, .home_depth = 2.0,           \
+        .plain_max_load = 2.0, .engine_depth = 1.0, .home_depth = 2.0,        \
         .long_share = 0.5, .stray_share = 1.0, .memory_share = 0.92,          \
         .reading_ms = 400, .zone_tokens_per_kb = 20, .request_tokens = 20,    \
         .harm_share = 0.02, .full_tokens = 2000, .long_prefill_tokens = 6000, \
         .rank_share = 0.02, .rank_tokens = 15, .reread_weight = 2.5,          \
         .fetch_tokens = 100, .fetch_share = 0.3, .fetch_min_tokens = 32,      \
-        .failing_tokens = 4000, .old_ms = 120, .delay_share = 0.33,           \
-        .back_off = true, .bad_rate = 0.35                                    \
+        .failing_tokens = 4000, .old_weights_cost_ms = 120,                   \
+        .load_delay_weight = 0.33, .refusal_backoff_enabled = true,           \
+        .bad_rate = 0.35                                                      \
     }
 
 /** pgw_choose_options_apply() - leave out what is switched off */
@@ -166,12 +169,13 @@
  * @homes: of the prompt, whose sidecars were asked; NULL: none
  * @model: whose weights; NULL for a plain call
  * @version: engines with older weights cost more, 0: none does
- * @least_version: engines with older weights are not used
+ * @min_version: engines with older weights are not used
  * @newest_version: engines with older weights will load it
  * @size: bytes of the request
  * @run_ms: how long it runs once its prompt is read, as far as can be told
- * @read_rate: tokens that an engine reads in a millisecond
- * @turn_ms: how long an engine that is among the next to load waits for that
+ * @prefill_tokens_per_ms: tokens that an engine reads in a millisecond
+ * @load_wait_ms: how long an engine that is among the next to load waits for
+ * that
  * @kv_tokens: memory of one engine where it has not said
  * @now_us: monotonic time
  * @random: settles between equals, and who of a large pool is weighed
@@ -184,12 +188,12 @@
     const struct pgw_homes *homes;
     const char *model;
     uint64_t version;
-    uint64_t least_version;
+    uint64_t min_version;
     uint64_t newest_version;
     size_t size;
     double run_ms;
-    double read_rate;
-    double turn_ms;
+    double prefill_tokens_per_ms;
+    double load_wait_ms;
     uint64_t kv_tokens;
     uint64_t now_us;
     uint64_t random;
--- a/src/gateway/crash_quarantine.c
+++ b/src/gateway/crash_quarantine.c
@@ -131,18 +131,18 @@
 static void
 forget_old(struct pgw_crash_quarantine *poison, uint64_t now_us)
 {
-    uint64_t link_us = poison->options.link_us;
+    uint64_t crash_match_us = poison->options.crash_match_us;
     guint old = 0;
 
     while (old < poison->broken->len &&
-           (broken_at(poison, old)->at_us + link_us <= now_us ||
+           (broken_at(poison, old)->at_us + crash_match_us <= now_us ||
             poison->broken->len - old >= BROKEN_MAX)) {
         old++;
     }
     g_array_remove_range(poison->broken, 0, old);
     old = 0;
     while (old < poison->dead->len &&
-           dead_at(poison, old)->at_us + link_us <= now_us) {
+           dead_at(poison, old)->at_us + crash_match_us <= now_us) {
         old++;
     }
     g_array_remove_range(poison->dead, 0, old);
@@ -195,7 +195,7 @@
         uint64_t other = record->at_us[i];
         uint64_t apart = other > at_us ? other - at_us : at_us - other;
 
-        if (apart < poison->options.apart_us) {
+        if (apart < poison->options.min_crash_gap_us) {
             return true;
         }
     }
--- a/src/gateway/crash_quarantine.h
+++ b/src/gateway/crash_quarantine.h
@@ -36,9 +36,10 @@
 /**
  * struct pgw_crash_quarantine_options - thresholds
  * @crashes: distinct incarnations after which a fingerprint is held back
- * @apart_us: crashes of one fingerprint that lie closer together count as one
- * @link_us: a run that broke off and the end of its upstream belong together
- *   when at most this long lies between them
+ * @min_crash_gap_us: crashes of one fingerprint that lie closer together count
+ * as one
+ * @crash_match_us: a run that broke off and the end of its upstream belong
+ * together when at most this long lies between them
  * @hold_us: how long it is held back; then one more crash is enough, and it is
  *   held twice as long
  * @keep_us: how long a fingerprint is remembered after its last crash, and the
@@ -47,8 +48,8 @@
  */
 struct pgw_crash_quarantine_options {
     uint32_t crashes;
-    uint64_t apart_us;
-    uint64_t link_us;
+    uint64_t min_crash_gap_us;
+    uint64_t crash_match_us;
     uint64_t hold_us;
     uint64_t keep_us;
     uint32_t records_max;
@@ -70,8 +71,8 @@
  */
 #define PGW_CRASH_QUARANTINE_OPTIONS_INIT                                     \
     {                                                                         \
-        .crashes = 3, .apart_us = G_USEC_PER_SEC / 2,                         \
-        .link_us = 8 * (uint64_t)G_USEC_PER_SEC,                              \
+        .crashes = 3, .min_crash_gap_us = G_USEC_PER_SEC / 2,                 \
+        .crash_match_us = 8 * (uint64_t)G_USEC_PER_SEC,                       \
         .hold_us = 60 * (uint64_t)G_USEC_PER_SEC,                             \
         .keep_us = 600 * (uint64_t)G_USEC_PER_SEC, .records_max = 4096        \
     }
--- a/src/gateway/crashed_runs.c
+++ b/src/gateway/crashed_runs.c
@@ -38,8 +38,8 @@
 }
 
 void
-pgw_crashed_runs_take(struct pgw_crash_quarantine *poison,
-                      const Pgw__CrashedRuns *message, uint64_t now_us)
+pgw_crashed_runs_receive(struct pgw_crash_quarantine *poison,
+                         const Pgw__CrashedRuns *message, uint64_t now_us)
 {
     for (size_t i = 0; i < message->n_runs; i++) {
         const Pgw__CrashedRun *run = message->runs[i];
--- a/src/gateway/crashed_runs.h
+++ b/src/gateway/crashed_runs.h
@@ -10,12 +10,13 @@
                            size_t count);
 
 /**
- * pgw_crashed_runs_take() - count what a peer sent
+ * pgw_crashed_runs_receive() - count what a peer sent
  * @poison: where it is counted
  * @message: what came; items that make no sense are logged and left out
  * @now_us: monotonic time
  */
-void pgw_crashed_runs_take(struct pgw_crash_quarantine *poison,
-                           const Pgw__CrashedRuns *message, uint64_t now_us);
+void pgw_crashed_runs_receive(struct pgw_crash_quarantine *poison,
+                              const Pgw__CrashedRuns *message,
+                              uint64_t now_us);
 
 #endif
--- a/src/gateway/delisted.c
+++ b/src/gateway/delisted.c
@@ -40,12 +40,12 @@
                  const struct pgw_delisted_options *options, uint64_t now_us)
 {
     upstream->delisted_at_us = now_us;
-    upstream->delisted_until_us = now_us + options->usual_us;
+    upstream->delisted_until_us = now_us + options->single_grace_us;
     if (in_trouble) {
-        prolong_all(table, options->trouble_us);
+        prolong_all(table, options->store_recovery_grace_us);
     }
     else if (are_many(table)) {
-        prolong_all(table, options->many_us);
+        prolong_all(table, options->mass_grace_us);
     }
 }
 
--- a/src/gateway/delisted.h
+++ b/src/gateway/delisted.h
@@ -16,15 +16,15 @@
 
 /**
  * struct pgw_delisted_options - for how long a vanished upstream is used
- * @usual_us: when it is the only one or one of a few
- * @many_us: when more than a quarter vanished: the list may be wrong
- * @trouble_us: when the store has just come back: living ones are in the list
- *   again within two seconds
+ * @single_grace_us: when it is the only one or one of a few
+ * @mass_grace_us: when more than a quarter vanished: the list may be wrong
+ * @store_recovery_grace_us: when the store has just come back: living ones are
+ * in the list again within two seconds
  */
 struct pgw_delisted_options {
-    uint64_t usual_us;
-    uint64_t many_us;
-    uint64_t trouble_us;
+    uint64_t single_grace_us;
+    uint64_t mass_grace_us;
+    uint64_t store_recovery_grace_us;
 };
 
 /**
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -76,7 +76,7 @@
     pgw_home_probe_drop(exchange);
     pgw_quota_end(gateway->quota, exchange);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_leave(exchange);
+    pgw_attempt_count_end(exchange);
     pgw_list_remove(&exchange->in_gateway);
     if (exchange->caller != NULL) {
         exchange->caller->owner = NULL;
@@ -147,13 +147,13 @@
         pgw_route_table_version(exchange->table), outcome, exchange->status,
         exchange->route->objective_ms,
         (exchange->deadline_us - exchange->received_us) / 1000, queued / 1000,
-        exchange->sends, exchange->runs, exchange->load_seen,
+        exchange->sends, exchange->runs, exchange->load_at_choice,
         exchange->load_age_us / 1000,
         exchange->tried_count == 0
             ? "-"
             : exchange->tried[exchange->tried_count - 1]->id,
         exchange->weights, exchange->facts.prompt.tokens,
-        exchange->homes.count, exchange->probing_us / 1000,
+        exchange->homes.count, exchange->probes_waited_us / 1000,
         exchange->missing_tokens,
         exchange->fetched == NULL ? "-" : exchange->fetched, first / 1000,
         (now - exchange->received_us) / 1000, exchange->events.events);
@@ -169,7 +169,7 @@
 
     log_end(exchange, outcome);
     pgw_exchange_free(exchange);
-    pgw_gateway_pump(gateway);
+    pgw_gateway_dispatch_queued(gateway);
 }
 
 static void
@@ -218,7 +218,7 @@
     struct pgw_gateway *gateway = exchange->gateway;
 
     pgw_exchange_free(exchange);
-    pgw_gateway_pump(gateway);
+    pgw_gateway_dispatch_queued(gateway);
 }
 
 /* Time is over. What never reached an upstream has not run, and is told so;
@@ -238,8 +238,8 @@
         return;
     }
     if (exchange->upstream != NULL) {
-        pgw_upstream_note(exchange->upstream, PGW_RESULT_TIMEOUT,
-                          pgw_now_us());
+        pgw_upstream_record_attempt(exchange->upstream, PGW_RESULT_TIMEOUT,
+                                    pgw_now_us());
     }
     pgw_exchange_refuse(exchange, 504, "deadline", 0);
 }
@@ -294,12 +294,13 @@
         input.newest_version = pgw_target_weights_newest(named);
         input.version = pgw_target_weights_oldest_usable(
             named,
-            pgw_policy_is_on(&gateway->options.policy, PGW_WEIGHTS_GRACE)
-                ? gateway->options.new_weights_us
+            pgw_policy_is_on(&gateway->options.policy,
+                             PGW_MECHANISM_WEIGHTS_GRACE)
+                ? gateway->options.weights_grace_us
                 : 0,
             input.now_us);
-        input.least_version = pgw_target_weights_oldest_usable(
-            named, gateway->options.old_weights_us,
+        input.min_version = pgw_target_weights_oldest_usable(
+            named, gateway->options.old_weights_usable_us,
             input.now_us +
                 exchange->facts.prompt.tokens * OLD_WEIGHTS_TOKEN_US);
     }
@@ -307,7 +308,7 @@
 }
 
 bool
-pgw_exchange_has_place(const struct pgw_exchange *exchange)
+pgw_exchange_has_free_upstream(const struct pgw_exchange *exchange)
 {
     struct pgw_choice choice;
 
@@ -322,11 +323,12 @@
 {
     uint64_t left = exchange->deadline_us - now_us;
 
-    return (uint64_t)((double)left * exchange->gateway->options.wait_share);
+    return (uint64_t)((double)left *
+                      exchange->gateway->options.queue_time_share);
 }
 
 void
-pgw_exchange_place(struct pgw_exchange *exchange)
+pgw_exchange_dispatch(struct pgw_exchange *exchange)
 {
     struct pgw_gateway *gateway = exchange->gateway;
     uint64_t now = pgw_now_us();
@@ -346,14 +348,14 @@
         pgw_exchange_send(exchange, &choice);
         return;
     }
-    pgw_gateway_pump_at(gateway, choice.retry_at_us);
+    pgw_gateway_dispatch_queued_at(gateway, choice.retry_at_us);
     if (pgw_list_is_linked(&exchange->waiting.link)) {
         return;
     }
     /* A stream that waits to go on elsewhere has its head already: a second
      * one would stand in the middle of the caller's answer. */
     if (exchange->phase != PGW_PHASE_RELAYING) {
-        exchange->phase = PGW_PHASE_WAITING;
+        exchange->phase = PGW_PHASE_QUEUED;
     }
     exchange->queued_at_us = now;
     pgw_wait_queue_add(&gateway->waiting, &exchange->waiting,
@@ -383,7 +385,7 @@
     /* The caller may go, and its head with it, before the upstream ends. */
     exchange->facts.id = g_strdup(facts->id);
     exchange->facts.model = g_strdup(facts->model);
-    exchange->received_us = caller->head_at_us;
+    exchange->received_us = caller->received_at_us;
     if (wait_ms == 0 ||
         (route->timeout_ms > 0 && route->timeout_ms < wait_ms)) {
         wait_ms = route->timeout_ms;
@@ -402,13 +404,14 @@
 {
     const struct pgw_route_table *routes = gateway->routes;
 
-    pgw_log_info(
-        "request_refused",
-        "request=%s status=%u reason=%s config=%" G_GUINT64_FORMAT
-        " config_age_ms=%" G_GUINT64_FORMAT,
-        id, status, reason,
-        routes == NULL ? 0 : pgw_route_table_version(routes),
-        routes == NULL ? 0 : (pgw_now_us() - gateway->routes_at_us) / 1000);
+    pgw_log_info("request_refused",
+                 "request=%s status=%u reason=%s config=%" G_GUINT64_FORMAT
+                 " config_age_ms=%" G_GUINT64_FORMAT,
+                 id, status, reason,
+                 routes == NULL ? 0 : pgw_route_table_version(routes),
+                 routes == NULL
+                     ? 0
+                     : (pgw_now_us() - gateway->routes_set_at_us) / 1000);
     answer_own(caller, status, reason, false, retry_after_ms);
 }
 
@@ -489,7 +492,7 @@
                     exchange->deadline_us > now ? exchange->deadline_us - now
                                                 : 0);
     if (pgw_quota_admit(gateway->quota, exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -500,9 +503,9 @@
 {
     const struct pgw_upstream *upstream = exchange->upstream;
     uint64_t now = pgw_now_us();
-    struct pgw_call_trace trace;
+    struct pgw_call_socket_state trace;
 
-    pgw_call_trace(&trace, &exchange->call);
+    pgw_call_socket_state(&trace, &exchange->call);
     pgw_log_info("run_cancelled",
                  "request=%s upstream=%s late_ms=%" G_GUINT64_FORMAT
                  " sent_ms=%" G_GUINT64_FORMAT " heard_ms=%" G_GUINT64_FORMAT
@@ -517,9 +520,9 @@
 }
 
 void
-pgw_exchange_caller_gone(struct pgw_exchange *exchange)
+pgw_exchange_handle_caller_gone(struct pgw_exchange *exchange)
 {
-    uint64_t late_us = exchange->caller->gone_late_us;
+    uint64_t late_us = exchange->caller->gone_unnoticed_us;
 
     exchange->caller = NULL;
     /*
--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -14,7 +14,7 @@
         return;
     }
     guard->arrivals.requests++;
-    if (message->to_read >= PGW_LONG_PREFILL) {
+    if (message->to_read >= PGW_LONG_PREFILL_TOKENS) {
         pgw_announced_prompts_add(&guard->announced, message->request,
                                   message->to_read, pgw_now_us());
     }
@@ -153,7 +153,7 @@
 }
 
 unsigned
-pgw_engine_sidecar_entries(const struct pgw_engine_sidecar *guard)
+pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *guard)
 {
     unsigned count = 0;
 
--- a/src/gateway/engine_sidecar.h
+++ b/src/gateway/engine_sidecar.h
@@ -64,20 +64,23 @@
 
 /**
  * struct pgw_engine_codec - how the deployment's engines are spoken to
- * @write_report: append a whole request for a report
+ * @write_report_request: append a whole request for a report
  * @read_report: decode its answer; false: it makes no sense. Names are owned
  *   by the caller
- * @write_order: append a whole order
- * @write_events: append a whole request for cache events that waits for some
+ * @write_order_request: append a whole order
+ * @write_events_request: append a whole request for cache events that waits
+ * for some
  * @read_events: decode its answer; false: it makes no sense. The array is
  *   owned by the caller
  */
 struct pgw_engine_codec {
-    void (*write_report)(GString *out);
+    void (*write_report_request)(GString *out);
     bool (*read_report)(struct pgw_engine_report *out, const char *body,
                         size_t size);
-    void (*write_order)(GString *out, const struct pgw_engine_order *order);
-    void (*write_events)(GString *out, uint64_t since, uint32_t wait_ms);
+    void (*write_order_request)(GString *out,
+                                const struct pgw_engine_order *order);
+    void (*write_events_request)(GString *out, uint64_t since,
+                                 uint32_t wait_ms);
     bool (*read_events)(struct pgw_cache_events *out, const char *body,
                         size_t size);
 };
@@ -94,11 +97,11 @@
  * @codec: how the engine is spoken to
  * @policy: mechanisms that are switched off
  * @get_token: ask for a new fencing token above all before; the answer comes
- *   through pgw_engine_sidecar_take_token()
+ *   through pgw_engine_sidecar_set_token()
  * @quotas: how buckets of workspaces start
  * @report_lag_us: how old the engine's reports may be, 0 on its own machine
- * @may_order: asked right before each order; NULL: always
- * @context: handed to @get_token and @may_order
+ * @may_send_order: asked right before each order; NULL: always
+ * @context: handed to @get_token and @may_send_order
  */
 struct pgw_engine_sidecar_options {
     const char *instance;
@@ -110,7 +113,7 @@
     void (*get_token)(void *context);
     struct pgw_quota_buckets_options quotas;
     uint64_t report_lag_us;
-    bool (*may_order)(void *context);
+    bool (*may_send_order)(void *context);
     void *context;
 };
 
@@ -121,16 +124,17 @@
                        GError **error);
 void pgw_engine_sidecar_free(struct pgw_engine_sidecar *guard);
 
-/** pgw_engine_sidecar_take_token() - a fencing token; 0: none can be had now
+/** pgw_engine_sidecar_set_token() - a fencing token; 0: none can be had now
  */
-void pgw_engine_sidecar_take_token(struct pgw_engine_sidecar *guard,
-                                   uint64_t token);
+void pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *guard,
+                                  uint64_t token);
 
 /** pgw_engine_sidecar_port() - where entries connect */
 uint16_t pgw_engine_sidecar_port(const struct pgw_engine_sidecar *guard);
 
-/** pgw_engine_sidecar_entries() - entries that are connected */
-unsigned pgw_engine_sidecar_entries(const struct pgw_engine_sidecar *guard);
+/** pgw_engine_sidecar_entry_count() - entries that are connected */
+unsigned
+pgw_engine_sidecar_entry_count(const struct pgw_engine_sidecar *guard);
 
 /** pgw_engine_sidecar_set_target_weights() - weights that the engine is to
  * run, and in how many microseconds to begin at the latest */
--- a/src/gateway/engine_sidecar_orders.c
+++ b/src/gateway/engine_sidecar_orders.c
@@ -26,7 +26,7 @@
     case 412:
         return PGW_ORDER_FENCED;
     case 421:
-        return PGW_ORDER_OTHER;
+        return PGW_ORDER_WRONG_INSTANCE;
     default:
         return PGW_ORDER_REFUSED;
     }
@@ -39,9 +39,12 @@
 }
 
 static const char *const answer_names[] = {
-    [PGW_ORDER_ACCEPTED] = "accepted", [PGW_ORDER_BUSY] = "busy",
-    [PGW_ORDER_FENCED] = "fenced",     [PGW_ORDER_OTHER] = "other_instance",
-    [PGW_ORDER_REFUSED] = "refused",   [PGW_ORDER_LOST] = "lost",
+    [PGW_ORDER_ACCEPTED] = "accepted",
+    [PGW_ORDER_BUSY] = "busy",
+    [PGW_ORDER_FENCED] = "fenced",
+    [PGW_ORDER_WRONG_INSTANCE] = "other_instance",
+    [PGW_ORDER_REFUSED] = "refused",
+    [PGW_ORDER_LOST] = "lost",
 };
 
 static void
@@ -57,7 +60,7 @@
                      guard->engine, model->model, model->order.wanted,
                      guard->order_status, answer_names[answer],
                      model->order.token);
-        pgw_weights_order_answer(&model->order, answer, pgw_now_us());
+        pgw_weights_order_handle_answer(&model->order, answer, pgw_now_us());
     }
     pgw_engine_sidecar_poll_now(guard);
     pgw_engine_sidecar_step_orders(guard);
@@ -123,7 +126,7 @@
     };
     GString *bytes = g_string_new(NULL);
 
-    guard->options.codec->write_order(bytes, &order);
+    guard->options.codec->write_order_request(bytes, &order);
     options.bytes = bytes->str;
     options.size = bytes->len;
     guard->order_call.ops = &order_ops;
@@ -136,20 +139,20 @@
                  guard->engine, order.instance, order.model, order.version,
                  order.token, order.sequence, model->order.queued,
                  guard->report.load.running, guard->report.load.kv_used);
-    pgw_weights_order_sent(&model->order, pgw_now_us());
+    pgw_weights_order_mark_sent(&model->order, pgw_now_us());
     if (!pgw_call_start(&guard->order_call, guard->pool, &options)) {
         guard->ordering = NULL;
-        pgw_weights_order_answer(&model->order, PGW_ORDER_REFUSED,
-                                 pgw_now_us());
+        pgw_weights_order_handle_answer(&model->order, PGW_ORDER_REFUSED,
+                                        pgw_now_us());
     }
     g_string_free(bytes, TRUE);
 }
 
 static bool
-may_order(const struct pgw_engine_sidecar *guard)
+may_send_order(const struct pgw_engine_sidecar *guard)
 {
-    return guard->options.may_order == NULL ||
-           guard->options.may_order(guard->options.context);
+    return guard->options.may_send_order == NULL ||
+           guard->options.may_send_order(guard->options.context);
 }
 
 /* Returns when to look again, 0: on news only. */
@@ -158,20 +161,20 @@
 {
     for (;;) {
         switch (pgw_weights_order_step(&model->order, pgw_now_us())) {
-        case PGW_WEIGHTS_REST:
+        case PGW_WEIGHTS_WAIT:
             return model->order.next_us;
-        case PGW_WEIGHTS_GET_TOKEN:
+        case PGW_WEIGHTS_REQUEST_TOKEN:
             guard->options.get_token(guard->options.context);
             break;
-        case PGW_WEIGHTS_ANNOUNCE:
-        case PGW_WEIGHTS_OPEN:
+        case PGW_WEIGHTS_ANNOUNCE_LOADING:
+        case PGW_WEIGHTS_ANNOUNCE_AVAILABLE:
             pgw_engine_sidecar_report_to_all(guard, true);
             break;
-        case PGW_WEIGHTS_ORDER:
+        case PGW_WEIGHTS_SEND_ORDER:
             /* One order at a time; nothing is known of an engine that does
              * not answer, so no order is made for it either. */
             if (guard->ordering != NULL || !guard->alive ||
-                !may_order(guard)) {
+                !may_send_order(guard)) {
                 return pgw_now_us() + STEP_AGAIN_US;
             }
             give_order(guard, model);
@@ -224,7 +227,7 @@
     model = &guard->models[guard->model_count++];
     model->model = g_strdup(name);
     options.report_lag_us = guard->options.report_lag_us;
-    if (!pgw_policy_is_on(&guard->options.policy, PGW_LOAD_DRAIN)) {
+    if (!pgw_policy_is_on(&guard->options.policy, PGW_MECHANISM_LOAD_DRAIN)) {
         options.drain_us = 0;
     }
     pgw_weights_order_init(&model->order, &options);
@@ -263,7 +266,8 @@
         model->instance = g_strdup(instance);
     }
     is_new = version > model->order.wanted;
-    pgw_weights_order_want(&model->order, version, start_in_us, pgw_now_us());
+    pgw_weights_order_set_target(&model->order, version, start_in_us,
+                                 pgw_now_us());
     if (is_new) {
         log_wanted(guard, model);
     }
@@ -271,10 +275,11 @@
 }
 
 void
-pgw_engine_sidecar_take_token(struct pgw_engine_sidecar *guard, uint64_t token)
+pgw_engine_sidecar_set_token(struct pgw_engine_sidecar *guard, uint64_t token)
 {
     for (size_t i = 0; i < guard->model_count; i++) {
-        pgw_weights_order_token(&guard->models[i].order, token, pgw_now_us());
+        pgw_weights_order_set_token(&guard->models[i].order, token,
+                                    pgw_now_us());
     }
     pgw_engine_sidecar_step_orders(guard);
 }
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -66,14 +66,15 @@
     guard->alive = true;
     guard->failures = 0;
     guard->arrivals_before = (struct pgw_announced_arrivals){0};
-    pgw_announced_prompts_report(&guard->announced,
-                                 &(struct pgw_engine_work){
-                                     .runs = guard->report.runs,
-                                     .run_count = guard->report.run_count,
-                                     .reading = guard->report.reading,
-                                     .waiting = guard->report.load.waiting,
-                                 },
-                                 now);
+    pgw_announced_prompts_apply_report(
+        &guard->announced,
+        &(struct pgw_engine_work){
+            .runs = guard->report.runs,
+            .run_count = guard->report.run_count,
+            .reading = guard->report.reading,
+            .waiting = guard->report.load.waiting,
+        },
+        now);
     for (size_t i = 0; i < guard->model_count; i++) {
         struct pgw_sidecar_model *model = &guard->models[i];
         uint64_t version =
@@ -86,8 +87,9 @@
                          guard->engine, model->model, version,
                          model->order.running);
         }
-        pgw_weights_order_report(&model->order, version, guard->report.busy,
-                                 guard->report.load.waiting, now);
+        pgw_weights_order_apply_report(&model->order, version,
+                                       guard->report.busy,
+                                       guard->report.load.waiting, now);
     }
     pgw_engine_sidecar_step_orders(guard);
     if (pgw_engine_sidecar_has_urgent_change(guard)) {
@@ -119,7 +121,7 @@
                     " before_ms=%" G_GUINT64_FORMAT,
                     guard->engine, started_ms, guard->report.started_ms);
     for (size_t i = 0; i < guard->model_count; i++) {
-        pgw_weights_order_restarted(&guard->models[i].order);
+        pgw_weights_order_handle_restart(&guard->models[i].order);
     }
     pgw_cached_parts_clear(&guard->parts);
     pgw_announced_prompts_clear(&guard->announced);
@@ -197,7 +199,7 @@
 
     guard->arrivals_before = guard->arrivals;
     guard->arrivals = (struct pgw_announced_arrivals){0};
-    guard->options.codec->write_report(bytes);
+    guard->options.codec->write_report_request(bytes);
     options.bytes = bytes->str;
     options.size = bytes->len;
     guard->report_call.ops = &report_ops;
@@ -300,8 +302,8 @@
         .timeout_us = EVENTS_TIMEOUT_US,
     };
 
-    guard->options.codec->write_events(bytes, guard->parts.next,
-                                       EVENTS_WAIT_MS);
+    guard->options.codec->write_events_request(bytes, guard->parts.next,
+                                               EVENTS_WAIT_MS);
     options.bytes = bytes->str;
     options.size = bytes->len;
     guard->events_call.ops = &events_ops;
--- a/src/gateway/engine_sidecar_quota.c
+++ b/src/gateway/engine_sidecar_quota.c
@@ -72,9 +72,9 @@
     struct pgw_quota_answer answer;
     struct pgw_quota_request request = {
         .workspace = ask->workspace,
-        .terms = {.rate = ask->rate,
-                  .burst = ask->burst,
-                  .version = ask->version},
+        .limits = {.rate = ask->rate,
+                   .burst = ask->burst,
+                   .version = ask->version},
         .spent = ask->spent,
         .refused = ask->refused,
         .cost = ask->cost,
@@ -82,7 +82,8 @@
         .restarted = has_restarted(peer->guard, now),
     };
 
-    pgw_quota_buckets_take(&answer, peer->guard->quotas, &request, now);
+    pgw_quota_buckets_handle_request(&answer, peer->guard->quotas, &request,
+                                     now);
     pgw_metric_counter_add(&asks, 1);
     pgw_metric_counter_add(&refused, ask->cost > answer.granted);
     message.workspace = ask->workspace;
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -76,7 +76,8 @@
 current_load(const struct pgw_engine_sidecar *guard)
 {
     struct pgw_upstream_load load = guard->report.load;
-    struct pgw_unread unread = pgw_announced_prompts_unread(&guard->announced);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(&guard->announced);
 
     load.running += guard->arrivals.requests + guard->arrivals_before.requests;
     load.long_prefills = MAX(load.long_prefills, unread.prompts);
@@ -132,7 +133,7 @@
     state.running = load.running;
     state.waiting = load.waiting;
     state.long_prefills = load.long_prefills;
-    state.entries = pgw_engine_sidecar_entries(guard);
+    state.entries = pgw_engine_sidecar_entry_count(guard);
     state.unread = load.unread;
     state.kv_used = load.kv_used;
     state.kv_total = load.kv_total;
@@ -147,7 +148,7 @@
 pgw_engine_sidecar_send_full_state(const struct pgw_engine_sidecar *guard,
                                    struct pgw_connected_entry *peer)
 {
-    GArray *all = pgw_cached_parts_all(&guard->parts, peer->far);
+    GArray *all = pgw_cached_parts_snapshot(&guard->parts, peer->far);
 
     send_state(
         guard, peer,
@@ -195,7 +196,7 @@
 tell_group(struct pgw_engine_sidecar *guard, bool far, bool identity,
            size_t most)
 {
-    bool reset = far ? guard->parts.far_reset : guard->parts.reset;
+    bool reset = far ? guard->parts.remote_reset : guard->parts.reset;
     GArray *words = pgw_cached_parts_changes(&guard->parts, far, most);
     struct report report = {
         .words = words,
@@ -249,7 +250,8 @@
     if (far) {
         guard->told_far_us = guard->told_us;
         tell_group(guard, true, urgent,
-                   pgw_policy_is_on(&guard->options.policy, PGW_FAR_PARTS)
+                   pgw_policy_is_on(&guard->options.policy,
+                                    PGW_MECHANISM_REMOTE_PARTS)
                        ? pgw_report_budget_remote_parts_max(count_far(guard))
                        : 0);
     }
@@ -303,6 +305,6 @@
 pgw_engine_sidecar_has_reportable_change(struct pgw_engine_sidecar *guard)
 {
     return has_changed(guard) &&
-           pgw_report_budget_has(&guard->budget, count_far(guard),
-                                 pgw_now_us());
+           pgw_report_budget_allows_report(&guard->budget, count_far(guard),
+                                           pgw_now_us());
 }
--- a/src/gateway/event_stream.c
+++ b/src/gateway/event_stream.c
@@ -81,7 +81,7 @@
 }
 
 void
-pgw_event_stream_restart(struct pgw_event_stream *stream)
+pgw_event_stream_discard_partial(struct pgw_event_stream *stream)
 {
     pgw_buffer_consume(&stream->pending, pgw_buffer_size(&stream->pending));
     stream->scanned = 0;
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -50,8 +50,9 @@
 /** pgw_event_stream_consume() - drop bytes that were passed on */
 void pgw_event_stream_consume(struct pgw_event_stream *stream, size_t size);
 
-/** pgw_event_stream_restart() - drop the unfinished event of a lost run */
-void pgw_event_stream_restart(struct pgw_event_stream *stream);
+/** pgw_event_stream_discard_partial() - drop the unfinished event of a lost
+ * run */
+void pgw_event_stream_discard_partial(struct pgw_event_stream *stream);
 
 /** pgw_event_stream_dispose() - free the pending bytes */
 void pgw_event_stream_dispose(struct pgw_event_stream *stream);
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -10,14 +10,14 @@
  * struct pgw_gateway - one entry
  * @started_us: when it was made
  * @routes: configuration in force, NULL before the first
- * @routes_at_us: since when
+ * @routes_set_at_us: since when
  * @budgets: repeats that it may make
  * @poison: requests that were running when upstreams crashed
  * @quota: quotas of workspaces
  * @waiting: requests without a place
  * @exchanges: all requests that are not ended
  * @pump: looks at what waits, once for all that has changed in a turn
- * @pump_timer: looks at it when an upstream that refused is asked again
+ * @dispatch_timer: looks at it when an upstream that refused is asked again
  * @start_timer: callers are let in without a configuration
  * @unresponsive_timer: looks for upstreams that have fallen silent
  * @weights: model -> &struct pgw_target_weights
@@ -25,7 +25,7 @@
  *   its caller allows, as observed
  * @read_rate: tokens that an engine reads in a millisecond, as observed
  * @turn_ms: time until an engine that loads next is told to, on average
- * @pump_at_us: when @pump_timer is due, 0: it is not set
+ * @dispatch_due_us: when @dispatch_timer is due, 0: it is not set
  * @sidecars: how sidecars are reached, NULL: they are not
  * @sidecars_context: handed to @sidecars
  * @probes: number of a probe -> the &struct pgw_exchange that waits for it
@@ -40,7 +40,7 @@
     struct pgw_caller_server *server;
     struct pgw_call_pool *pool;
     struct pgw_route_table *routes;
-    uint64_t routes_at_us;
+    uint64_t routes_set_at_us;
     struct pgw_upstream_table *upstreams;
     struct pgw_retry_budgets *budgets;
     struct pgw_crash_quarantine *poison;
@@ -48,15 +48,15 @@
     struct pgw_wait_queue waiting;
     struct pgw_list exchanges;
     struct pgw_task pump;
-    struct pgw_timer pump_timer;
+    struct pgw_timer dispatch_timer;
     struct pgw_timer start_timer;
     struct pgw_timer unresponsive_timer;
     GHashTable *weights;
     struct pgw_moving_average token_ms;
     struct pgw_moving_average read_rate;
     double turn_ms;
-    uint64_t pump_at_us;
-    bool pump_posted;
+    uint64_t dispatch_due_us;
+    bool dispatch_is_posted;
     const struct pgw_sidecar_ops *sidecars;
     void *sidecars_context;
     GHashTable *probes;
@@ -65,12 +65,12 @@
 
 /**
  * enum pgw_exchange_phase - progress of a request
- * @PGW_PHASE_WAITING: it waits for a place
+ * @PGW_PHASE_QUEUED: it waits for a place
  * @PGW_PHASE_SENT: an upstream has it and has not answered
  * @PGW_PHASE_RELAYING: events have reached the caller
  */
 enum pgw_exchange_phase {
-    PGW_PHASE_WAITING,
+    PGW_PHASE_QUEUED,
     PGW_PHASE_SENT,
     PGW_PHASE_RELAYING,
 };
@@ -87,13 +87,13 @@
  * @last_byte_us: when a byte of the present attempt's answer last came, 0:
  * none
  * @announced: its long prompt counts as unread at the sidecar of @upstream
- * @stuck_told: that it waits for a silent upstream stands in the log
+ * @stuck_is_logged: that it waits for a silent upstream stands in the log
  * @may_have_run: some attempt ended without saying that it did not run
  * @homes: of the prompt, that may be chosen beside the own zone; held
  * @probe: answers of sidecars that it waits for, 0: none
  * @probed_at_us: when it last asked for them
- * @probing_us: how long it has waited for them in all
- * @answered: by position in @homes, whether what is known of it is fresh
+ * @probes_waited_us: how long it has waited for them in all
+ * @home_is_fresh: by position in @homes, whether what is known of it is fresh
  * @quota_cost: units of its workspace's quota that it needs
  * @quota_spent: units that were taken for it
  * @quota_ask: the ask to the owner of the quota that it waits for, 0: none
@@ -102,7 +102,8 @@
  * @prefill_tokens: and prompt tokens without a first event
  * @queued_at_us: since when it waits for a place, 0: it does not
  * @queued_us: how long it has waited in all
- * @load_seen: requests that its upstream was taken to have when it was chosen
+ * @load_at_choice: requests that its upstream was taken to have when it was
+ * chosen
  * @load_age_us: age of the report that this rests on
  * @fetched: where missing prompt parts are fetched from, for logs
  * @weights: version that its events come from
@@ -132,15 +133,15 @@
     uint32_t runs;
     uint32_t sends;
     bool announced;
-    bool stuck_told;
+    bool stuck_is_logged;
     bool may_have_run;
     struct pgw_upstream *tried[PGW_TRIED_MAX];
     size_t tried_count;
     struct pgw_homes homes;
     uint64_t probe;
     uint64_t probed_at_us;
-    uint64_t probing_us;
-    bool answered[PGW_HOMES_MAX];
+    uint64_t probes_waited_us;
+    bool home_is_fresh[PGW_HOMES_MAX];
     double quota_cost;
     double quota_spent;
     uint64_t quota_ask;
@@ -151,7 +152,7 @@
     uint32_t missing_tokens;
     uint64_t queued_at_us;
     uint64_t queued_us;
-    uint32_t load_seen;
+    uint32_t load_at_choice;
     uint64_t load_age_us;
     const char *fetched;
     uint64_t weights;
@@ -164,19 +165,21 @@
 };
 
 /* gateway.c */
-/** pgw_gateway_pump_at() - look at what waits at a time, or sooner */
-void pgw_gateway_pump_at(struct pgw_gateway *gateway, uint64_t at_us);
+/** pgw_gateway_dispatch_queued_at() - look at what waits at a time, or sooner
+ */
+void pgw_gateway_dispatch_queued_at(struct pgw_gateway *gateway,
+                                    uint64_t at_us);
 
 /* dispatch.c */
 /** pgw_exchange_begin() - accept a whole request */
 void pgw_exchange_begin(struct pgw_gateway *gateway,
                         struct pgw_caller *caller);
-/** pgw_exchange_caller_gone() - nobody waits for the answer any more */
-void pgw_exchange_caller_gone(struct pgw_exchange *exchange);
-/** pgw_exchange_place() - try to send it; it waits if there is no place */
-void pgw_exchange_place(struct pgw_exchange *exchange);
-/** pgw_exchange_has_place() - another upstream could take it now */
-bool pgw_exchange_has_place(const struct pgw_exchange *exchange);
+/** pgw_exchange_handle_caller_gone() - nobody waits for the answer any more */
+void pgw_exchange_handle_caller_gone(struct pgw_exchange *exchange);
+/** pgw_exchange_dispatch() - try to send it; it waits if there is no place */
+void pgw_exchange_dispatch(struct pgw_exchange *exchange);
+/** pgw_exchange_has_free_upstream() - another upstream could take it now */
+bool pgw_exchange_has_free_upstream(const struct pgw_exchange *exchange);
 /**
  * pgw_exchange_rank() - how urgent it is: 0 goes first
  * @exchange: the request
@@ -199,7 +202,7 @@
  * pgw_home_probe_begin() - ask the sidecars of a prompt's homes
  * @exchange: a request that is about to be placed
  *
- * Return: true when answers are waited for; pgw_exchange_place() is called
+ * Return: true when answers are waited for; pgw_exchange_dispatch() is called
  * once they are there, or are not waited for any longer.
  */
 bool pgw_home_probe_begin(struct pgw_exchange *exchange);
@@ -216,36 +219,39 @@
 extern const struct pgw_call_ops pgw_relay_ops;
 
 /* attempt.c */
-/** pgw_attempt_enter() - the attempt begins: count what it takes */
-void pgw_attempt_enter(struct pgw_exchange *exchange,
-                       const struct pgw_choice *choice);
-/** pgw_attempt_leave() - the attempt is over: give back what it counts */
-void pgw_attempt_leave(struct pgw_exchange *exchange);
-/** pgw_attempt_end_prefill() - its prompt has been read */
-void pgw_attempt_end_prefill(struct pgw_exchange *exchange);
-/** pgw_attempt_note() - account how it went for its upstream's health */
-void pgw_attempt_note(struct pgw_exchange *exchange,
-                      enum pgw_attempt_result result);
-/** pgw_attempt_may_repeat() - the route, and what is known of the request,
+/** pgw_attempt_count_start() - the attempt begins: count what it takes */
+void pgw_attempt_count_start(struct pgw_exchange *exchange,
+                             const struct pgw_choice *choice);
+/** pgw_attempt_count_end() - the attempt is over: give back what it counts */
+void pgw_attempt_count_end(struct pgw_exchange *exchange);
+/** pgw_attempt_count_prefill_end() - its prompt has been read */
+void pgw_attempt_count_prefill_end(struct pgw_exchange *exchange);
+/** pgw_attempt_record_result() - account how it went for its upstream's health
+ */
+void pgw_attempt_record_result(struct pgw_exchange *exchange,
+                               enum pgw_attempt_result result);
+/** pgw_attempt_may_retry() - the route, and what is known of the request,
  * allow another upstream although this one may have run it */
-bool pgw_attempt_may_repeat(const struct pgw_exchange *exchange);
-/** pgw_attempt_take_repeat() - a repeat from the budget, if there is one */
-bool pgw_attempt_take_repeat(struct pgw_exchange *exchange);
-/** pgw_attempt_repeat() - it may have run; another upstream gets it, for which
+bool pgw_attempt_may_retry(const struct pgw_exchange *exchange);
+/** pgw_attempt_take_retry() - a repeat from the budget, if there is one */
+bool pgw_attempt_take_retry(struct pgw_exchange *exchange);
+/** pgw_attempt_retry() - it may have run; another upstream gets it, for which
  * a repeat was taken */
-void pgw_attempt_repeat(struct pgw_exchange *exchange, const char *why);
-/** pgw_attempt_give_up() - the caller is told that nobody knows; @why is the
+void pgw_attempt_retry(struct pgw_exchange *exchange, const char *why);
+/** pgw_attempt_abandon() - the caller is told that nobody knows; @why is the
  * outcome */
-void pgw_attempt_give_up(struct pgw_exchange *exchange, const char *why);
+void pgw_attempt_abandon(struct pgw_exchange *exchange, const char *why);
 /**
- * pgw_attempt_not_run() - nobody ran it: another upstream may, in the budget
+ * pgw_attempt_handle_not_run() - nobody ran it: another upstream may, in the
+ * budget
  * @exchange: the request
  * @why: outcome for logs
  * @arrived: the upstream got it and refused; costs a repeat
  */
-void pgw_attempt_not_run(struct pgw_exchange *exchange, const char *why,
-                         bool arrived);
-/** pgw_attempt_unknown() - whether this upstream ran it is not known */
-void pgw_attempt_unknown(struct pgw_exchange *exchange, const char *why);
+void pgw_attempt_handle_not_run(struct pgw_exchange *exchange, const char *why,
+                                bool arrived);
+/** pgw_attempt_handle_unknown() - whether this upstream ran it is not known */
+void pgw_attempt_handle_unknown(struct pgw_exchange *exchange,
+                                const char *why);
 
 #endif
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -22,13 +22,13 @@
     struct pgw_exchange *exchange =
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
-    if (exchange->call.answered || !pgw_attempt_may_repeat(exchange) ||
-        !pgw_attempt_take_repeat(exchange)) {
+    if (exchange->call.answered || !pgw_attempt_may_retry(exchange) ||
+        !pgw_attempt_take_retry(exchange)) {
         return;
     }
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
-    pgw_attempt_repeat(exchange, "silent");
+    pgw_attempt_record_result(exchange, PGW_RESULT_TIMEOUT);
+    pgw_attempt_retry(exchange, "silent");
 }
 
 static void
@@ -37,7 +37,7 @@
     struct pgw_gateway *gateway = exchange->gateway;
 
     if (exchange->route->objective_ms == 0 ||
-        !pgw_attempt_may_repeat(exchange) ||
+        !pgw_attempt_may_retry(exchange) ||
         exchange->phase == PGW_PHASE_RELAYING) {
         return;
     }
@@ -45,7 +45,7 @@
     pgw_timer_start(
         gateway->loop, &exchange->attempt_timer,
         pgw_response_timeout_us((uint64_t)exchange->route->objective_ms * 1000,
-                                gateway->options.hedge_share,
+                                gateway->options.response_timeout_share,
                                 exchange->facts.model == NULL
                                     ? 0
                                     : MAX(exchange->facts.prompt.tokens, 1)));
@@ -86,7 +86,7 @@
         uint64_t key =
             pgw_part_key(exchange->facts.model, salt, prompt->parts[i].id);
 
-        if (!pgw_upstream_holds(upstream, key, tokens, true, now)) {
+        if (!pgw_upstream_has_part(upstream, key, tokens, true, now)) {
             unknown[count++] =
                 (struct pgw_shared_part){.key = key, .tokens = tokens};
         }
@@ -97,12 +97,13 @@
     announcement.memory = prompt->tokens + prompt->output_tokens;
     announcement.request = pgw_announced_prompts_id(exchange->facts.id);
     announcement.count = count;
-    if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL) &&
+    if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL_TOKENS) &&
         gateway->sidecars != NULL &&
-        pgw_policy_is_on(&gateway->options.policy, PGW_EXPECTED_PARTS)) {
+        pgw_policy_is_on(&gateway->options.policy,
+                         PGW_MECHANISM_EXPECTED_PARTS)) {
         gateway->sidecars->announce(gateway->sidecars_context, upstream,
                                     &announcement);
-        exchange->announced = announcement.to_read >= PGW_LONG_PREFILL;
+        exchange->announced = announcement.to_read >= PGW_LONG_PREFILL_TOKENS;
     }
 }
 
@@ -110,7 +111,8 @@
 static const struct pgw_service *
 store_of(const struct pgw_exchange *exchange)
 {
-    return pgw_policy_is_on(&exchange->gateway->options.policy, PGW_STORE)
+    return pgw_policy_is_on(&exchange->gateway->options.policy,
+                            PGW_MECHANISM_STORE)
                ? pgw_route_table_kv_store(exchange->table,
                                           exchange->facts.prompt.parts[0].id)
                : NULL;
@@ -132,8 +134,8 @@
     };
     struct pgw_source source;
 
-    options.rest_from_store =
-        pgw_policy_is_on(&gateway->options.policy, PGW_STORE_REST);
+    options.requires_full_holder = pgw_policy_is_on(
+        &gateway->options.policy, PGW_MECHANISM_STORE_REMAINDER);
     source = pgw_source_decide(&input, &options);
     if (source.from == PGW_SOURCE_ENGINE && choice->holder != NULL) {
         exchange->fetched = "engine";
@@ -194,7 +196,7 @@
     if (exchange->facts.model != NULL) {
         out->priority =
             pgw_policy_is_on(&exchange->gateway->options.policy,
-                             PGW_ROUTE_PRIORITY)
+                             PGW_MECHANISM_ROUTE_PRIORITY)
                 ? (int)MIN(exchange->route->priority * ROUTE_PRIORITY_STEP,
                            PGW_PRIORITIES - 1)
                 : 0;
@@ -223,22 +225,22 @@
     gateway->options.codec->write_request(bytes, &forward);
     options.bytes = bytes->str;
     options.size = bytes->len;
-    pgw_attempt_enter(exchange, choice);
+    pgw_attempt_count_start(exchange, choice);
     exchange->phase = exchange->phase == PGW_PHASE_RELAYING
                           ? PGW_PHASE_RELAYING
                           : PGW_PHASE_SENT;
     exchange->sends++;
     exchange->runs++;
     if (exchange->runs > 1) {
-        pgw_quota_repeat(gateway->quota, exchange);
+        pgw_quota_charge_retry(gateway->quota, exchange);
     }
     exchange->sent_us = pgw_now_us();
     exchange->last_byte_us = 0;
     exchange->call.ops = &pgw_relay_ops;
     if (!pgw_call_start(&exchange->call, gateway->pool, &options)) {
         exchange->runs--;
-        pgw_attempt_note(exchange, PGW_RESULT_UNREACHABLE);
-        pgw_attempt_not_run(exchange, "no_socket", false);
+        pgw_attempt_record_result(exchange, PGW_RESULT_UNREACHABLE);
+        pgw_attempt_handle_not_run(exchange, "no_socket", false);
     }
     else {
         start_silence_timer(exchange);
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -20,7 +20,7 @@
 {
     (void)context;
     if (caller->owner != NULL) {
-        pgw_exchange_caller_gone(caller->owner);
+        pgw_exchange_handle_caller_gone(caller->owner);
     }
 }
 
@@ -112,7 +112,7 @@
         pgw_exchange_free(
             pgw_container_of(link, struct pgw_exchange, in_gateway));
     }
-    pgw_timer_stop(gateway->loop, &gateway->pump_timer);
+    pgw_timer_stop(gateway->loop, &gateway->dispatch_timer);
     pgw_timer_stop(gateway->loop, &gateway->start_timer);
     pgw_unresponsive_stop(gateway);
     pgw_caller_server_free(gateway->server);
@@ -192,7 +192,7 @@
 #endif
     pgw_route_table_unref(gateway->routes);
     gateway->routes = pgw_route_table_ref(table);
-    gateway->routes_at_us = pgw_now_us();
+    gateway->routes_set_at_us = pgw_now_us();
     start_due(&gateway->start_timer);
     pgw_caller_server_set_limits(gateway->server,
                                  pgw_route_table_limits(table));
@@ -233,7 +233,8 @@
 }
 
 uint64_t
-pgw_gateway_weights(const struct pgw_gateway *gateway, const char *model)
+pgw_gateway_target_version(const struct pgw_gateway *gateway,
+                           const char *model)
 {
     const struct pgw_target_weights *named =
         g_hash_table_lookup(gateway->weights, model);
@@ -250,7 +251,8 @@
 }
 
 void
-pgw_gateway_set_load(struct pgw_gateway *gateway, uint64_t load_us)
+pgw_gateway_set_weights_loading_time(struct pgw_gateway *gateway,
+                                     uint64_t load_us)
 {
     /* The next ones wait for one of those that load, which may have just begun
      * or be about to end. */
@@ -258,22 +260,23 @@
 }
 
 GHashTable *
-pgw_gateway_models(const struct pgw_gateway *gateway)
+pgw_gateway_target_models(const struct pgw_gateway *gateway)
 {
     return gateway->weights;
 }
 
 uint64_t
-pgw_gateway_weights_left(const struct pgw_gateway *gateway, const char *model,
-                         uint64_t version)
+pgw_gateway_weights_usable_for_us(const struct pgw_gateway *gateway,
+                                  const char *model, uint64_t version)
 {
     const struct pgw_target_weights *named =
         g_hash_table_lookup(gateway->weights, model);
 
-    return named == NULL ? UINT64_MAX
-                         : pgw_target_weights_usable_for_us(
-                               named, version, gateway->options.old_weights_us,
-                               pgw_now_us());
+    return named == NULL
+               ? UINT64_MAX
+               : pgw_target_weights_usable_for_us(
+                     named, version, gateway->options.old_weights_usable_us,
+                     pgw_now_us());
 }
 
 /* All that waits is looked at, since what blocks the first may not block the
@@ -284,20 +287,20 @@
     struct pgw_gateway *gateway =
         pgw_container_of(task, struct pgw_gateway, pump);
 
-    gateway->pump_posted = false;
+    gateway->dispatch_is_posted = false;
     for (unsigned rank = 0; rank < PGW_WAIT_QUEUE_RANKS; rank++) {
         pgw_list_foreach_safe (link, &gateway->waiting.queues[rank]) {
-            pgw_exchange_place(
+            pgw_exchange_dispatch(
                 pgw_container_of(link, struct pgw_exchange, waiting.link));
         }
     }
 }
 
 void
-pgw_gateway_pump(struct pgw_gateway *gateway)
+pgw_gateway_dispatch_queued(struct pgw_gateway *gateway)
 {
-    if (gateway->waiting.count > 0 && !gateway->pump_posted) {
-        gateway->pump_posted = true;
+    if (gateway->waiting.count > 0 && !gateway->dispatch_is_posted) {
+        gateway->dispatch_is_posted = true;
         gateway->pump.run = pump_run;
         pgw_loop_post(gateway->loop, &gateway->pump);
     }
@@ -307,24 +310,24 @@
 pump_due(struct pgw_timer *timer)
 {
     struct pgw_gateway *gateway =
-        pgw_container_of(timer, struct pgw_gateway, pump_timer);
+        pgw_container_of(timer, struct pgw_gateway, dispatch_timer);
 
-    gateway->pump_at_us = 0;
-    pgw_gateway_pump(gateway);
+    gateway->dispatch_due_us = 0;
+    pgw_gateway_dispatch_queued(gateway);
 }
 
 void
-pgw_gateway_pump_at(struct pgw_gateway *gateway, uint64_t at_us)
+pgw_gateway_dispatch_queued_at(struct pgw_gateway *gateway, uint64_t at_us)
 {
     uint64_t now = pgw_now_us();
 
     if (at_us == 0 ||
-        (gateway->pump_at_us > 0 && gateway->pump_at_us <= at_us)) {
+        (gateway->dispatch_due_us > 0 && gateway->dispatch_due_us <= at_us)) {
         return;
     }
-    gateway->pump_at_us = at_us;
-    gateway->pump_timer.on_due = pump_due;
-    pgw_timer_start(gateway->loop, &gateway->pump_timer,
+    gateway->dispatch_due_us = at_us;
+    gateway->dispatch_timer.on_due = pump_due;
+    pgw_timer_start(gateway->loop, &gateway->dispatch_timer,
                     at_us > now ? at_us - now : 0);
 }
 
@@ -348,13 +351,13 @@
 }
 
 void
-pgw_gateway_close(struct pgw_gateway *gateway)
+pgw_gateway_close_idle(struct pgw_gateway *gateway)
 {
     pgw_caller_server_close_idle(gateway->server);
 }
 
 unsigned
-pgw_gateway_busy(const struct pgw_gateway *gateway)
+pgw_gateway_request_count(const struct pgw_gateway *gateway)
 {
-    return pgw_caller_server_busy(gateway->server);
+    return pgw_caller_server_request_count(gateway->server);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -38,23 +38,24 @@
  * @choose: thresholds of placement
  * @quota: what may be spent beyond the quotas of workspaces
  * @poison: thresholds for requests that crash upstreams
- * @old_weights_us: for how long older weights are used after newer were named
- * @new_weights_us: answers with the weights of before count in full until so
+ * @old_weights_usable_us: for how long older weights are used after newer were
+ * named
+ * @weights_grace_us: answers with the weights of before count in full until so
  *   long after newer were named
- * @wait_share: part of a request's time that it may wait for a place
- * @hedge_share: part of the objective after which a silent upstream is given
- *   up for a request that may run again
- * @last_bytes_us: what a process sent may come so long after another one was
- *   first known to have taken its place
+ * @queue_time_share: part of a request's time that it may wait for a place
+ * @response_timeout_share: part of the objective after which a silent upstream
+ * is given up for a request that may run again
+ * @final_answer_grace_us: what a process sent may come so long after another
+ * one was first known to have taken its place
  * @probe_wait_us: for how long the answers of sidecars are waited for
  * @quota_wait_us: for how long the answer of a quota's owner is waited for
  * @quota_start_us: until so long after the start requests wait for the links
  * to owners of quotas
  * @start_pause_us: for how long connections of callers wait for the first
  *   configuration
- * @on_answered_by: an upstream's address was answered by this one; NULL:
+ * @on_incarnation_seen: an upstream's address was answered by this one; NULL:
  * nobody is told
- * @context: handed to @on_answered_by
+ * @context: handed to @on_incarnation_seen
  */
 struct pgw_gateway_options {
     const char *instance;
@@ -66,16 +67,16 @@
     struct pgw_choose_options choose;
     struct pgw_quota_bounds quota;
     struct pgw_crash_quarantine_options poison;
-    uint64_t old_weights_us;
-    uint64_t new_weights_us;
-    double wait_share;
-    double hedge_share;
-    uint64_t last_bytes_us;
+    uint64_t old_weights_usable_us;
+    uint64_t weights_grace_us;
+    double queue_time_share;
+    double response_timeout_share;
+    uint64_t final_answer_grace_us;
     uint64_t probe_wait_us;
     uint64_t quota_wait_us;
     uint64_t quota_start_us;
     uint64_t start_pause_us;
-    void (*on_answered_by)(const char *id, void *context);
+    void (*on_incarnation_seen)(const char *id, void *context);
     void *context;
 };
 
@@ -162,7 +163,7 @@
  * @probe: ask for an engine's load and which parts it holds; the answer comes
  *   through pgw_gateway_probe_answered(). false: it cannot be asked now
  * @ask_quota: ask the owner of a quota, or report to it; the answer comes
- *   through pgw_quota_answered(). false: it cannot be asked now
+ *   through pgw_quota_handle_answer(). false: it cannot be asked now
  */
 struct pgw_sidecar_ops {
     void (*announce)(void *context, const struct pgw_upstream *upstream,
@@ -184,21 +185,24 @@
 void pgw_gateway_probe_answered(struct pgw_gateway *gateway, uint64_t probe,
                                 const struct pgw_upstream *upstream);
 
-/** pgw_gateway_set_load() - time that an engine is away for a load, in
- * microseconds; 0: not known */
-void pgw_gateway_set_load(struct pgw_gateway *gateway, uint64_t load_us);
+/** pgw_gateway_set_weights_loading_time() - time that an engine is away for a
+ * load, in microseconds; 0: not known */
+void pgw_gateway_set_weights_loading_time(struct pgw_gateway *gateway,
+                                          uint64_t load_us);
 
-/** pgw_gateway_models() - those of which a version was named: its keys */
-GHashTable *pgw_gateway_models(const struct pgw_gateway *gateway);
+/** pgw_gateway_target_models() - those of which a version was named: its keys
+ */
+GHashTable *pgw_gateway_target_models(const struct pgw_gateway *gateway);
 
-/** pgw_gateway_weights_left() - how long an engine with these weights may
- * still be used, in microseconds; %UINT64_MAX: they are the newest */
-uint64_t pgw_gateway_weights_left(const struct pgw_gateway *gateway,
-                                  const char *model, uint64_t version);
+/** pgw_gateway_weights_usable_for_us() - how long an engine with these weights
+ * may still be used, in microseconds; %UINT64_MAX: they are the newest */
+uint64_t pgw_gateway_weights_usable_for_us(const struct pgw_gateway *gateway,
+                                           const char *model,
+                                           uint64_t version);
 
-/** pgw_gateway_weights() - newest version named of a model, 0: none */
-uint64_t pgw_gateway_weights(const struct pgw_gateway *gateway,
-                             const char *model);
+/** pgw_gateway_target_version() - newest version named of a model, 0: none */
+uint64_t pgw_gateway_target_version(const struct pgw_gateway *gateway,
+                                    const char *model);
 
 /** pgw_gateway_quota() - quotas of workspaces, which take owners' answers */
 struct pgw_quota *pgw_gateway_quota(struct pgw_gateway *gateway);
@@ -212,8 +216,9 @@
 struct pgw_crash_quarantine *
 pgw_gateway_crash_quarantine(struct pgw_gateway *gateway);
 
-/** pgw_gateway_pump() - upstreams have changed: look at what waits */
-void pgw_gateway_pump(struct pgw_gateway *gateway);
+/** pgw_gateway_dispatch_queued() - upstreams have changed: look at what waits
+ */
+void pgw_gateway_dispatch_queued(struct pgw_gateway *gateway);
 
 /** pgw_gateway_pool() - connections, shared with other callers of upstreams */
 struct pgw_call_pool *pgw_gateway_pool(struct pgw_gateway *gateway);
@@ -221,10 +226,10 @@
 /** pgw_gateway_drain() - answers end their connections from now on */
 void pgw_gateway_drain(struct pgw_gateway *gateway);
 
-/** pgw_gateway_close() - accept no more, close what is idle */
-void pgw_gateway_close(struct pgw_gateway *gateway);
+/** pgw_gateway_close_idle() - accept no more, close what is idle */
+void pgw_gateway_close_idle(struct pgw_gateway *gateway);
 
-/** pgw_gateway_busy() - requests being read or answered */
-unsigned pgw_gateway_busy(const struct pgw_gateway *gateway);
+/** pgw_gateway_request_count() - requests being read or answered */
+unsigned pgw_gateway_request_count(const struct pgw_gateway *gateway);
 
 #endif
--- a/src/gateway/gossip.c
+++ b/src/gateway/gossip.c
@@ -223,7 +223,7 @@
         pgw_list_remove(&peer->in_mesh);
         pgw_list_append(&mesh->peers, &peer->in_mesh);
         pgw_timer_start(mesh->loop, &mesh->ask_timer,
-                        mesh->options.ask_after_us);
+                        mesh->options.request_delay_us);
         return;
     }
 }
@@ -315,9 +315,9 @@
         answer_peer(peer, &since);
     }
     else if (is_ahead(peer) && mesh->ask_timer.position == 0) {
-        pgw_timer_start(mesh->loop, &mesh->ask_timer,
-                        mesh->reached.count == 0 ? 0
-                                                 : mesh->options.ask_after_us);
+        pgw_timer_start(
+            mesh->loop, &mesh->ask_timer,
+            mesh->reached.count == 0 ? 0 : mesh->options.request_delay_us);
     }
     revisions_clear(&since);
 }
@@ -326,8 +326,8 @@
 take_crashed_runs(struct peer *peer, const Pgw__CrashedRuns *message)
 {
     if (peer->mesh->options.poison != NULL) {
-        pgw_crashed_runs_take(peer->mesh->options.poison, message,
-                              pgw_now_us());
+        pgw_crashed_runs_receive(peer->mesh->options.poison, message,
+                                 pgw_now_us());
     }
 }
 
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -29,8 +29,8 @@
  * @seed_count: number of @seeds
  * @instance: name of this process
  * @zone: its availability zone
- * @ask_after_us: who knows less than a peer waits so long for the platform's
- *   store before it asks that peer
+ * @request_delay_us: who knows less than a peer waits so long for the
+ * platform's store before it asks that peer
  * @on_document: a newer copy came, from whichever side
  * @context: handed to @on_document
  * @poison: what is known of requests that crash upstreams, kept alike on all
@@ -42,7 +42,7 @@
     size_t seed_count;
     const char *instance;
     const char *zone;
-    uint64_t ask_after_us;
+    uint64_t request_delay_us;
     void (*on_document)(const struct pgw_document *document, void *context);
     void *context;
     struct pgw_crash_quarantine *poison;
--- a/src/gateway/home_probe.c
+++ b/src/gateway/home_probe.c
@@ -17,7 +17,7 @@
 end_wait(struct pgw_exchange *exchange)
 {
     if (exchange->probe != 0) {
-        exchange->probing_us += pgw_now_us() - exchange->probed_at_us;
+        exchange->probes_waited_us += pgw_now_us() - exchange->probed_at_us;
         g_hash_table_remove(exchange->gateway->probes, &exchange->probe);
         exchange->probe = 0;
     }
@@ -41,7 +41,7 @@
     size_t kept = 0;
 
     for (size_t i = 0; i < homes->count; i++) {
-        if (exchange->answered[i]) {
+        if (exchange->home_is_fresh[i]) {
             homes->items[kept++] = homes->items[i];
         }
         else {
@@ -59,7 +59,7 @@
     exchange->probed_at_us = pgw_now_us();
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
     drop_unknown(exchange);
-    pgw_exchange_place(exchange);
+    pgw_exchange_dispatch(exchange);
 }
 
 static void
@@ -69,7 +69,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
     for (size_t i = 0; i < exchange->homes.count; i++) {
-        pgw_metric_counter_add(&unanswered, !exchange->answered[i]);
+        pgw_metric_counter_add(&unanswered, !exchange->home_is_fresh[i]);
     }
     go_on(exchange);
 }
@@ -86,8 +86,8 @@
         return;
     }
     for (size_t i = 0; i < exchange->homes.count; i++) {
-        exchange->answered[i] |= exchange->homes.items[i] == upstream;
-        whole = whole && exchange->answered[i];
+        exchange->home_is_fresh[i] |= exchange->homes.items[i] == upstream;
+        whole = whole && exchange->home_is_fresh[i];
     }
     if (whole) {
         go_on(exchange);
@@ -129,7 +129,7 @@
             pgw_metric_counter_add(&probes, asked);
         }
         /* Sidecars of the own zone send reports unasked. */
-        exchange->answered[i] = homes->items[i]->same_zone;
+        exchange->home_is_fresh[i] = homes->items[i]->same_zone;
         any |= asked;
     }
     return any;
@@ -143,8 +143,10 @@
 
     return gateway->sidecars != NULL && exchange->facts.model != NULL &&
            exchange->facts.prompt.part_count > 0 &&
-           pgw_prompt_shared(&exchange->facts.prompt) >= PGW_LONG_PREFILL &&
-           pgw_policy_is_on(&gateway->options.policy, PGW_HOME_PROBES) &&
+           pgw_prompt_shared(&exchange->facts.prompt) >=
+               PGW_LONG_PREFILL_TOKENS &&
+           pgw_policy_is_on(&gateway->options.policy,
+                            PGW_MECHANISM_HOME_PROBES) &&
            !pgw_list_is_linked(&exchange->waiting.link) &&
            (exchange->probed_at_us == 0 ||
             pgw_now_us() - exchange->probed_at_us >= ANSWER_FRESH_US);
@@ -192,7 +194,7 @@
         return false;
     }
     if (exchange->phase != PGW_PHASE_RELAYING) {
-        exchange->phase = PGW_PHASE_WAITING;
+        exchange->phase = PGW_PHASE_QUEUED;
     }
     exchange->attempt_timer.on_due = wait_due;
     pgw_timer_start(gateway->loop, &exchange->attempt_timer,
--- a/src/gateway/http_reader.c
+++ b/src/gateway/http_reader.c
@@ -66,7 +66,7 @@
 }
 
 bool
-pgw_http_head_is_hop(const struct pgw_http_head *head, unsigned i)
+pgw_http_head_is_hop_by_hop(const struct pgw_http_head *head, unsigned i)
 {
     static const char *const names[] = {
         "Connection", "Keep-Alive", "Proxy-Connection",
--- a/src/gateway/http_reader.h
+++ b/src/gateway/http_reader.h
@@ -69,12 +69,12 @@
                              const char *name);
 
 /**
- * pgw_http_head_is_hop() - whether a field concerns one connection only
+ * pgw_http_head_is_hop_by_hop() - whether a field concerns one connection only
  *
  * True for the names that the protocol lists and for those that the head's
  * own Connection field names.
  */
-bool pgw_http_head_is_hop(const struct pgw_http_head *head, unsigned i);
+bool pgw_http_head_is_hop_by_hop(const struct pgw_http_head *head, unsigned i);
 
 struct pgw_http_reader;
 
--- a/src/gateway/lease.c
+++ b/src/gateway/lease.c
@@ -10,7 +10,7 @@
 }
 
 void
-pgw_lease_want(struct pgw_lease *lease, bool wanted)
+pgw_lease_set_wanted(struct pgw_lease *lease, bool wanted)
 {
     lease->wanted = wanted;
 }
@@ -30,7 +30,7 @@
 pgw_lease_step(struct pgw_lease *lease, uint64_t now_us)
 {
     if (lease->asking || !lease->wanted || now_us < lease->next_us) {
-        return PGW_LEASE_REST;
+        return PGW_LEASE_IDLE;
     }
     if (!lease->known) {
         return ask(lease, PGW_LEASE_READ, now_us);
@@ -53,9 +53,9 @@
 }
 
 void
-pgw_lease_take_read(struct pgw_lease *lease, enum pgw_lease_result result,
-                    bool mine, uint64_t writes, uint64_t revision,
-                    uint64_t now_us)
+pgw_lease_finish_read(struct pgw_lease *lease, enum pgw_lease_result result,
+                      bool mine, uint64_t writes, uint64_t revision,
+                      uint64_t now_us)
 {
     lease->asking = false;
     if (result == PGW_LEASE_FAILED) {
@@ -81,8 +81,8 @@
 }
 
 void
-pgw_lease_take_write(struct pgw_lease *lease, enum pgw_lease_result result,
-                     uint64_t revision, uint64_t now_us)
+pgw_lease_finish_write(struct pgw_lease *lease, enum pgw_lease_result result,
+                       uint64_t revision, uint64_t now_us)
 {
     lease->asking = false;
     if (result != PGW_LEASE_DONE) {
--- a/src/gateway/lease.h
+++ b/src/gateway/lease.h
@@ -48,13 +48,13 @@
 
 /**
  * enum pgw_lease_step - what to do now
- * @PGW_LEASE_REST: nothing
+ * @PGW_LEASE_IDLE: nothing
  * @PGW_LEASE_READ: read the object
  * @PGW_LEASE_CREATE: make it, naming this holder
  * @PGW_LEASE_REPLACE: write it, if it still has @revision
  */
 enum pgw_lease_step {
-    PGW_LEASE_REST,
+    PGW_LEASE_IDLE,
     PGW_LEASE_READ,
     PGW_LEASE_CREATE,
     PGW_LEASE_REPLACE,
@@ -107,15 +107,16 @@
 void pgw_lease_init(struct pgw_lease *lease,
                     const struct pgw_lease_options *options);
 
-/** pgw_lease_want() - whether there is something to do under the lease */
-void pgw_lease_want(struct pgw_lease *lease, bool wanted);
+/** pgw_lease_set_wanted() - whether there is something to do under the lease
+ */
+void pgw_lease_set_wanted(struct pgw_lease *lease, bool wanted);
 
 /** pgw_lease_step() - what to do now; a call that it names must be ended with
  * one of the functions below */
 enum pgw_lease_step pgw_lease_step(struct pgw_lease *lease, uint64_t now_us);
 
 /**
- * pgw_lease_take_read() - the end of a read
+ * pgw_lease_finish_read() - the end of a read
  * @lease: the state
  * @result: %PGW_LEASE_DONE, _ABSENT or _FAILED
  * @mine: it names this process
@@ -123,14 +124,16 @@
  * @revision: of the object
  * @now_us: the time
  */
-void pgw_lease_take_read(struct pgw_lease *lease, enum pgw_lease_result result,
-                         bool mine, uint64_t writes, uint64_t revision,
-                         uint64_t now_us);
-
-/** pgw_lease_take_write() - the end of a write; @revision where it was done */
-void pgw_lease_take_write(struct pgw_lease *lease,
-                          enum pgw_lease_result result, uint64_t revision,
-                          uint64_t now_us);
+void pgw_lease_finish_read(struct pgw_lease *lease,
+                           enum pgw_lease_result result, bool mine,
+                           uint64_t writes, uint64_t revision,
+                           uint64_t now_us);
+
+/** pgw_lease_finish_write() - the end of a write; @revision where it was done
+ */
+void pgw_lease_finish_write(struct pgw_lease *lease,
+                            enum pgw_lease_result result, uint64_t revision,
+                            uint64_t now_us);
 
 /** pgw_lease_holds() - this process may act */
 bool pgw_lease_holds(const struct pgw_lease *lease, uint64_t now_us);
--- a/src/gateway/policy.c
+++ b/src/gateway/policy.c
@@ -10,23 +10,23 @@
     .help = "Mechanisms that are switched off",
 };
 
-static const char *const names[PGW_MECHANISMS] = {
-    [PGW_LOAD_WINDOW] = "load_window",
-    [PGW_LOAD_NEXT] = "load_next",
-    [PGW_LOAD_DRAIN] = "load_drain",
-    [PGW_WEIGHTS_GRACE] = "weights_grace",
-    [PGW_WEIGHTS_PRICE] = "weights_price",
-    [PGW_FAR_PARTS] = "far_parts",
-    [PGW_EXPECTED_PARTS] = "expected_parts",
-    [PGW_ENGINE_FETCH] = "engine_fetch",
-    [PGW_STORE] = "store",
-    [PGW_STORE_REST] = "store_rest",
-    [PGW_PROMPT_RANK] = "prompt_rank",
-    [PGW_LONG_PREFILLS] = "long_prefills",
-    [PGW_CROWD_HARM] = "crowd_harm",
-    [PGW_REFUSAL_REST] = "refusal_rest",
-    [PGW_ROUTE_PRIORITY] = "route_priority",
-    [PGW_HOME_PROBES] = "home_probes",
+static const char *const names[PGW_MECHANISM_COUNT] = {
+    [PGW_MECHANISM_LOAD_WINDOW] = "load_window",
+    [PGW_MECHANISM_LOAD_NEXT] = "load_next",
+    [PGW_MECHANISM_LOAD_DRAIN] = "load_drain",
+    [PGW_MECHANISM_WEIGHTS_GRACE] = "weights_grace",
+    [PGW_MECHANISM_OLD_WEIGHTS_COST] = "weights_price",
+    [PGW_MECHANISM_REMOTE_PARTS] = "far_parts",
+    [PGW_MECHANISM_EXPECTED_PARTS] = "expected_parts",
+    [PGW_MECHANISM_ENGINE_FETCH] = "engine_fetch",
+    [PGW_MECHANISM_STORE] = "store",
+    [PGW_MECHANISM_STORE_REMAINDER] = "store_rest",
+    [PGW_MECHANISM_PROMPT_RANK] = "prompt_rank",
+    [PGW_MECHANISM_LONG_PREFILLS] = "long_prefills",
+    [PGW_MECHANISM_PREFILL_INTERFERENCE] = "crowd_harm",
+    [PGW_MECHANISM_REFUSAL_BACKOFF] = "refusal_rest",
+    [PGW_MECHANISM_ROUTE_PRIORITY] = "route_priority",
+    [PGW_MECHANISM_HOME_PROBES] = "home_probes",
 };
 
 struct file {
@@ -53,7 +53,7 @@
 {
     GString *known = g_string_new(NULL);
 
-    for (size_t i = 0; i < PGW_MECHANISMS; i++) {
+    for (size_t i = 0; i < PGW_MECHANISM_COUNT; i++) {
         if (strcmp(name, names[i]) == 0) {
             policy->off[i] = true;
             g_string_free(known, TRUE);
@@ -97,7 +97,7 @@
 {
     unsigned count = 0;
 
-    for (size_t i = 0; i < PGW_MECHANISMS; i++) {
+    for (size_t i = 0; i < PGW_MECHANISM_COUNT; i++) {
         if (policy->off[i]) {
             pgw_log_warning("mechanism_off", "name=%s", names[i]);
             count++;
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -15,42 +15,47 @@
 
 /**
  * enum pgw_mechanism - what can be switched off, and what happens then
- * @PGW_LOAD_WINDOW: all engines load named weights at once
- * @PGW_LOAD_NEXT: engines that load next get long runs like any other
- * @PGW_LOAD_DRAIN: engines load whatever waits in their queue
- * @PGW_WEIGHTS_GRACE: older weights cost from the naming on
- * @PGW_WEIGHTS_PRICE: older weights cost nothing
- * @PGW_FAR_PARTS: entries of other zones do not hear what engines hold
- * @PGW_EXPECTED_PARTS: nor does any of what other entries have sent
- * @PGW_ENGINE_FETCH: nothing is fetched from another engine
- * @PGW_STORE: the store of kept memory is not used
- * @PGW_STORE_REST: a holder of some parts is asked for all
- * @PGW_PROMPT_RANK: cold prompts have no home
- * @PGW_LONG_PREFILLS: long prompts that others read are not counted
- * @PGW_CROWD_HARM: long prompts go beside running requests as short ones do
- * @PGW_REFUSAL_REST: engines that refuse several times in a row do not rest
- * @PGW_ROUTE_PRIORITY: engines are told one urgency for all
- * @PGW_HOME_PROBES: prompts stay in the entry's zone if its pool is large
- * @PGW_MECHANISMS: number of these
+ * @PGW_MECHANISM_LOAD_WINDOW: all engines load named weights at once
+ * @PGW_MECHANISM_LOAD_NEXT: engines that load next get long runs like any
+ * other
+ * @PGW_MECHANISM_LOAD_DRAIN: engines load whatever waits in their queue
+ * @PGW_MECHANISM_WEIGHTS_GRACE: older weights cost from the naming on
+ * @PGW_MECHANISM_OLD_WEIGHTS_COST: older weights cost nothing
+ * @PGW_MECHANISM_REMOTE_PARTS: entries of other zones do not hear what engines
+ * hold
+ * @PGW_MECHANISM_EXPECTED_PARTS: nor does any of what other entries have sent
+ * @PGW_MECHANISM_ENGINE_FETCH: nothing is fetched from another engine
+ * @PGW_MECHANISM_STORE: the store of kept memory is not used
+ * @PGW_MECHANISM_STORE_REMAINDER: a holder of some parts is asked for all
+ * @PGW_MECHANISM_PROMPT_RANK: cold prompts have no home
+ * @PGW_MECHANISM_LONG_PREFILLS: long prompts that others read are not counted
+ * @PGW_MECHANISM_PREFILL_INTERFERENCE: long prompts go beside running requests
+ * as short ones do
+ * @PGW_MECHANISM_REFUSAL_BACKOFF: engines that refuse several times in a row
+ * do not rest
+ * @PGW_MECHANISM_ROUTE_PRIORITY: engines are told one urgency for all
+ * @PGW_MECHANISM_HOME_PROBES: prompts stay in the entry's zone if its pool is
+ * large
+ * @PGW_MECHANISM_COUNT: number of these
  */
 enum pgw_mechanism {
-    PGW_LOAD_WINDOW,
-    PGW_LOAD_NEXT,
-    PGW_LOAD_DRAIN,
-    PGW_WEIGHTS_GRACE,
-    PGW_WEIGHTS_PRICE,
-    PGW_FAR_PARTS,
-    PGW_EXPECTED_PARTS,
-    PGW_ENGINE_FETCH,
-    PGW_STORE,
-    PGW_STORE_REST,
-    PGW_PROMPT_RANK,
-    PGW_LONG_PREFILLS,
-    PGW_CROWD_HARM,
-    PGW_REFUSAL_REST,
-    PGW_ROUTE_PRIORITY,
-    PGW_HOME_PROBES,
-    PGW_MECHANISMS,
+    PGW_MECHANISM_LOAD_WINDOW,
+    PGW_MECHANISM_LOAD_NEXT,
+    PGW_MECHANISM_LOAD_DRAIN,
+    PGW_MECHANISM_WEIGHTS_GRACE,
+    PGW_MECHANISM_OLD_WEIGHTS_COST,
+    PGW_MECHANISM_REMOTE_PARTS,
+    PGW_MECHANISM_EXPECTED_PARTS,
+    PGW_MECHANISM_ENGINE_FETCH,
+    PGW_MECHANISM_STORE,
+    PGW_MECHANISM_STORE_REMAINDER,
+    PGW_MECHANISM_PROMPT_RANK,
+    PGW_MECHANISM_LONG_PREFILLS,
+    PGW_MECHANISM_PREFILL_INTERFERENCE,
+    PGW_MECHANISM_REFUSAL_BACKOFF,
+    PGW_MECHANISM_ROUTE_PRIORITY,
+    PGW_MECHANISM_HOME_PROBES,
+    PGW_MECHANISM_COUNT,
 };
 
 /**
@@ -58,7 +63,7 @@
  * @off: those that are not
  */
 struct pgw_policy {
-    bool off[PGW_MECHANISMS];
+    bool off[PGW_MECHANISM_COUNT];
 };
 
 /** pgw_mechanism_name() - as in files and logs */
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -29,12 +29,12 @@
 /**
  * struct workspace_quota - one workspace with a quota
  * @key: pgw_quota_key() of it
- * @terms: its quota as last known here
+ * @limits: its quota as last known here
  * @share: what is known of it
  */
 struct workspace_quota {
     uint64_t key;
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     struct pgw_quota_share share;
 };
 
@@ -73,21 +73,21 @@
     struct pgw_quota_ask message = {
         .ask = ask,
         .request = {.workspace = workspace->key,
-                    .terms = workspace->terms,
+                    .limits = workspace->limits,
                     .cost = cost},
     };
 
     if (gateway->sidecars == NULL) {
         return false;
     }
-    pgw_quota_share_report(&workspace->share, &message.request);
+    pgw_quota_share_take_unreported(&workspace->share, &message.request);
     count =
         pgw_quota_owners_rank(ranked, TRIES, &quota->owners, workspace->key);
     for (size_t i = 0; i < count; i++) {
         size_t position = ranked[i];
 
         message.stands_in = i > 0;
-        if (pgw_quota_owners_may_ask(&quota->owners, position, now) &&
+        if (pgw_quota_owners_is_available(&quota->owners, position, now) &&
             gateway->sidecars->ask_quota(gateway->sidecars_context,
                                          quota->owners.items[position],
                                          &message)) {
@@ -179,8 +179,8 @@
         workspace->key = key;
         g_hash_table_insert(quota->by_workspace, &workspace->key, workspace);
     }
-    if (version >= workspace->terms.version) {
-        workspace->terms = (struct pgw_quota_terms){
+    if (version >= workspace->limits.version) {
+        workspace->limits = (struct pgw_quota_limits){
             .rate = said->quota_rate,
             /* An empty bucket that takes nothing would never grant. */
             .burst = said->quota_burst > 0 ? said->quota_burst
@@ -197,8 +197,8 @@
     struct pgw_loop *loop = quota->gateway->loop;
 
     pgw_quota_share_spend(&workspace->share, units);
-    if (pgw_quota_share_is_due(&workspace->share, &workspace->terms,
-                               quota->entries)) {
+    if (pgw_quota_share_report_is_due(&workspace->share, &workspace->limits,
+                                      quota->entries)) {
         send_ask(quota, workspace, 0, 0);
     }
     else if (quota->report_timer.position == 0) {
@@ -241,10 +241,10 @@
              struct pgw_exchange *exchange)
 {
     pgw_metric_counter_add(&unanswered, 1);
-    if (pgw_quota_share_decide_alone(&workspace->share, &workspace->terms,
-                                     &quota->bounds, quota->entries,
-                                     exchange->quota_cost,
-                                     pgw_now_us()) == PGW_QUOTA_REFUSE) {
+    if (pgw_quota_share_decide_locally(&workspace->share, &workspace->limits,
+                                       &quota->bounds, quota->entries,
+                                       exchange->quota_cost,
+                                       pgw_now_us()) == PGW_QUOTA_REFUSE) {
         refuse(workspace, exchange, ELSEWHERE_MS);
         return false;
     }
@@ -262,7 +262,7 @@
 
     drop_ask(quota, exchange);
     if (decide_alone(quota, workspace_of(quota, exchange), exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -291,7 +291,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
 
     if (pgw_quota_admit(exchange->gateway->quota, exchange)) {
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
 }
 
@@ -326,7 +326,7 @@
     exchange->quota_cost = pgw_quota_cost(
         &exchange->workspace->quota_units, facts->has_tokens,
         (double)facts->prompt.tokens + facts->prompt.output_tokens);
-    switch (pgw_quota_share_decide(&workspace->share, &workspace->terms,
+    switch (pgw_quota_share_decide(&workspace->share, &workspace->limits,
                                    quota->entries, exchange->quota_cost,
                                    pgw_now_us())) {
     case PGW_QUOTA_ADMIT:
@@ -345,7 +345,7 @@
 }
 
 void
-pgw_quota_repeat(struct pgw_quota *quota, struct pgw_exchange *exchange)
+pgw_quota_charge_retry(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
     struct workspace_quota *workspace = workspace_of(quota, exchange);
 
@@ -373,19 +373,20 @@
 }
 
 void
-pgw_quota_answered(struct pgw_quota *quota,
-                   const struct pgw_upstream *upstream, uint64_t workspace_key,
-                   uint64_t ask, const struct pgw_quota_answer *answer)
+pgw_quota_handle_answer(struct pgw_quota *quota,
+                        const struct pgw_upstream *upstream,
+                        uint64_t workspace_key, uint64_t ask,
+                        const struct pgw_quota_answer *answer)
 {
     struct workspace_quota *workspace =
         g_hash_table_lookup(quota->by_workspace, &workspace_key);
     struct pgw_exchange *exchange = g_hash_table_lookup(quota->asks, &ask);
 
-    pgw_quota_owners_note_answer(&quota->owners, upstream);
+    pgw_quota_owners_record_answer(&quota->owners, upstream);
     if (workspace == NULL) {
         return;
     }
-    pgw_quota_share_take(&workspace->share, answer, pgw_now_us());
+    pgw_quota_share_apply_answer(&workspace->share, answer, pgw_now_us());
     if (exchange == NULL) {
         /* Too late: the request was decided on without it, or has ended. */
         if (answer->granted > 0) {
@@ -397,7 +398,7 @@
     pgw_timer_stop(quota->gateway->loop, &exchange->attempt_timer);
     if (answer->granted > 0) {
         exchange->quota_spent = exchange->quota_cost;
-        pgw_exchange_place(exchange);
+        pgw_exchange_dispatch(exchange);
     }
     else {
         refuse(workspace, exchange, answer->retry_ms);
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -80,14 +80,14 @@
                              const struct pgw_quota_owners *owners,
                              uint64_t workspace);
 
-/** pgw_quota_owners_may_ask() - the one at a position answers, as far as is
- * known */
-bool pgw_quota_owners_may_ask(struct pgw_quota_owners *owners, size_t position,
-                              uint64_t now_us);
+/** pgw_quota_owners_is_available() - the one at a position answers, as far as
+ * is known */
+bool pgw_quota_owners_is_available(struct pgw_quota_owners *owners,
+                                   size_t position, uint64_t now_us);
 
-/** pgw_quota_owners_note_answer() - an upstream's sidecar has answered */
-void pgw_quota_owners_note_answer(struct pgw_quota_owners *owners,
-                                  const struct pgw_upstream *upstream);
+/** pgw_quota_owners_record_answer() - an upstream's sidecar has answered */
+void pgw_quota_owners_record_answer(struct pgw_quota_owners *owners,
+                                    const struct pgw_upstream *upstream);
 
 struct pgw_exchange;
 struct pgw_gateway;
@@ -110,20 +110,21 @@
  * @exchange: a request that has just begun
  *
  * Return: false when it was refused, and is freed, or when its owner is asked:
- * pgw_exchange_place() or pgw_exchange_refuse() follow then.
+ * pgw_exchange_dispatch() or pgw_exchange_refuse() follow then.
  */
 bool pgw_quota_admit(struct pgw_quota *quota, struct pgw_exchange *exchange);
 
-/** pgw_quota_repeat() - a request runs once more */
-void pgw_quota_repeat(struct pgw_quota *quota, struct pgw_exchange *exchange);
+/** pgw_quota_charge_retry() - a request runs once more */
+void pgw_quota_charge_retry(struct pgw_quota *quota,
+                            struct pgw_exchange *exchange);
 
 /** pgw_quota_end() - a request ends: what no upstream ran is given back */
 void pgw_quota_end(struct pgw_quota *quota, struct pgw_exchange *exchange);
 
-/** pgw_quota_answered() - the sidecar of an upstream has answered */
-void pgw_quota_answered(struct pgw_quota *quota,
-                        const struct pgw_upstream *upstream,
-                        uint64_t workspace, uint64_t ask,
-                        const struct pgw_quota_answer *answer);
+/** pgw_quota_handle_answer() - the sidecar of an upstream has answered */
+void pgw_quota_handle_answer(struct pgw_quota *quota,
+                             const struct pgw_upstream *upstream,
+                             uint64_t workspace, uint64_t ask,
+                             const struct pgw_quota_answer *answer);
 
 #endif
--- a/src/gateway/quota_bucket.c
+++ b/src/gateway/quota_bucket.c
@@ -16,7 +16,7 @@
 
 struct bucket {
     uint64_t workspace;
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     double level;
     double refused;
     uint64_t at_us;
@@ -37,10 +37,11 @@
 }
 
 double
-pgw_quota_beyond(const struct pgw_quota_bounds *bounds,
-                 const struct pgw_quota_terms *terms)
+pgw_quota_overage(const struct pgw_quota_bounds *bounds,
+                  const struct pgw_quota_limits *limits)
 {
-    return (terms->rate * bounds->window_s + terms->burst) * bounds->overage +
+    return (limits->rate * bounds->window_s + limits->burst) *
+               bounds->overage +
            bounds->slack;
 }
 
@@ -89,17 +90,17 @@
         drop_idle(buckets, now_us);
     }
     bucket->workspace = request->workspace;
-    bucket->terms = request->terms;
-    bucket->level = request->terms.burst;
+    bucket->limits = request->limits;
+    bucket->level = request->limits.burst;
     if (now_us >= options->full_until_us) {
         double part =
             request->restarted ? options->restart_part : options->start_part;
 
         bucket->slow = !request->restarted;
         bucket->level =
-            MIN(pgw_quota_beyond(&options->bounds, &request->terms) * part *
+            MIN(pgw_quota_overage(&options->bounds, &request->limits) * part *
                     request->share,
-                request->terms.burst);
+                request->limits.burst);
     }
     bucket->at_us = now_us;
     bucket->made_us = now_us;
@@ -111,14 +112,14 @@
 refill(struct bucket *bucket, const struct pgw_quota_buckets_options *options,
        double share, uint64_t now_us)
 {
-    double rate = bucket->terms.rate * share;
+    double rate = bucket->limits.rate * share;
 
     if (bucket->slow && now_us - bucket->made_us < options->slow_us) {
         rate *= options->slow_share;
     }
     bucket->level =
         MIN(bucket->level + rate * (double)(now_us - bucket->at_us) / 1e6,
-            bucket->terms.burst);
+            bucket->limits.burst);
     bucket->at_us = now_us;
 }
 
@@ -140,10 +141,10 @@
 }
 
 void
-pgw_quota_buckets_take(struct pgw_quota_answer *out,
-                       struct pgw_quota_buckets *buckets,
-                       const struct pgw_quota_request *request,
-                       uint64_t now_us)
+pgw_quota_buckets_handle_request(struct pgw_quota_answer *out,
+                                 struct pgw_quota_buckets *buckets,
+                                 const struct pgw_quota_request *request,
+                                 uint64_t now_us)
 {
     struct bucket *bucket =
         g_hash_table_lookup(buckets->by_workspace, &request->workspace);
@@ -155,19 +156,19 @@
     refill(bucket, &buckets->options, request->share, now_us);
     /* Entries that have not read the newest configuration yet must not undo
      * it. */
-    if (request->terms.version > bucket->terms.version) {
-        bucket->terms = request->terms;
-        bucket->level = MIN(bucket->level, bucket->terms.burst);
+    if (request->limits.version > bucket->limits.version) {
+        bucket->limits = request->limits;
+        bucket->level = MIN(bucket->level, bucket->limits.burst);
     }
-    bucket->level = MIN(bucket->level - request->spent, bucket->terms.burst);
+    bucket->level = MIN(bucket->level - request->spent, bucket->limits.burst);
     /* One that is larger than a full bucket may empty it. */
-    out->granted = bucket->level >= MIN(request->cost, bucket->terms.burst)
+    out->granted = bucket->level >= MIN(request->cost, bucket->limits.burst)
                        ? request->cost
                        : 0;
     bucket->level -= out->granted;
     note_refused(bucket, request->refused + request->cost - out->granted,
                  now_us);
-    rate = bucket->terms.rate * request->share;
+    rate = bucket->limits.rate * request->share;
     out->level = bucket->level;
     out->wait_ms = time_ms(-bucket->level, rate);
     out->retry_ms =
--- a/src/gateway/quota_bucket.h
+++ b/src/gateway/quota_bucket.h
@@ -21,12 +21,12 @@
  */
 
 /**
- * struct pgw_quota_terms - a workspace's quota as the operator sets it
+ * struct pgw_quota_limits - a workspace's quota as the operator sets it
  * @rate: units a second, 0: no limit
  * @burst: units that may be spent at once
  * @version: of the configuration that says so
  */
-struct pgw_quota_terms {
+struct pgw_quota_limits {
     double rate;
     double burst;
     uint64_t version;
@@ -44,9 +44,9 @@
     double slack;
 };
 
-/** pgw_quota_beyond() - units that the bounds leave beyond a quota */
-double pgw_quota_beyond(const struct pgw_quota_bounds *bounds,
-                        const struct pgw_quota_terms *terms);
+/** pgw_quota_overage() - units that the bounds leave beyond a quota */
+double pgw_quota_overage(const struct pgw_quota_bounds *bounds,
+                         const struct pgw_quota_limits *limits);
 
 struct pgw_quota_buckets;
 
@@ -84,7 +84,7 @@
 /**
  * struct pgw_quota_request - what an entry asks or reports
  * @workspace: pgw_quota_key() of it
- * @terms: the quota as the entry knows it; those of the newest version hold
+ * @limits: the quota as the entry knows it; those of the newest version hold
  * @spent: units spent since its last report; below 0: given back
  * @refused: units of requests that it refused since
  * @cost: units that a request needs now, 0: only a report
@@ -94,7 +94,7 @@
  */
 struct pgw_quota_request {
     uint64_t workspace;
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     double spent;
     double refused;
     double cost;
@@ -125,10 +125,11 @@
 pgw_quota_buckets_new(const struct pgw_quota_buckets_options *options);
 void pgw_quota_buckets_free(struct pgw_quota_buckets *buckets);
 
-/** pgw_quota_buckets_take() - account a report, and decide on a request */
-void pgw_quota_buckets_take(struct pgw_quota_answer *out,
-                            struct pgw_quota_buckets *buckets,
-                            const struct pgw_quota_request *request,
-                            uint64_t now_us);
+/** pgw_quota_buckets_handle_request() - account a report, and decide on a
+ * request */
+void pgw_quota_buckets_handle_request(struct pgw_quota_answer *out,
+                                      struct pgw_quota_buckets *buckets,
+                                      const struct pgw_quota_request *request,
+                                      uint64_t now_us);
 
 #endif
--- a/src/gateway/quota_owners.c
+++ b/src/gateway/quota_owners.c
@@ -98,8 +98,8 @@
 }
 
 bool
-pgw_quota_owners_may_ask(struct pgw_quota_owners *owners, size_t position,
-                         uint64_t now_us)
+pgw_quota_owners_is_available(struct pgw_quota_owners *owners, size_t position,
+                              uint64_t now_us)
 {
     uint64_t asked = owners->asked_at_us[position];
 
@@ -111,8 +111,8 @@
 }
 
 void
-pgw_quota_owners_note_answer(struct pgw_quota_owners *owners,
-                             const struct pgw_upstream *upstream)
+pgw_quota_owners_record_answer(struct pgw_quota_owners *owners,
+                               const struct pgw_upstream *upstream)
 {
     for (size_t i = 0; i < owners->count; i++) {
         if (owners->items[i]->id_hash == upstream->id_hash) {
--- a/src/gateway/quota_share.c
+++ b/src/gateway/quota_share.c
@@ -13,10 +13,10 @@
 
 static bool
 is_plenty(const struct pgw_quota_share *share,
-          const struct pgw_quota_terms *terms, uint64_t now_us)
+          const struct pgw_quota_limits *limits, uint64_t now_us)
 {
     return share->level_at_us > 0 && now_us - share->level_at_us < FRESH_US &&
-           share->level >= terms->burst / 2;
+           share->level >= limits->burst / 2;
 }
 
 /* Units that this entry may admit of the bucket as it was last known. */
@@ -29,13 +29,13 @@
 
 enum pgw_quota_verdict
 pgw_quota_share_decide(const struct pgw_quota_share *share,
-                       const struct pgw_quota_terms *terms, uint32_t entries,
+                       const struct pgw_quota_limits *limits, uint32_t entries,
                        double cost, uint64_t now_us)
 {
     if (now_us < share->refuse_until_us) {
         return PGW_QUOTA_REFUSE;
     }
-    if (is_plenty(share, terms, now_us) &&
+    if (is_plenty(share, limits, now_us) &&
         share->unreported + share->unanswered + cost <=
             share->level * FREE_PART / MAX(entries, 1)) {
         return PGW_QUOTA_ADMIT;
@@ -44,17 +44,17 @@
 }
 
 enum pgw_quota_verdict
-pgw_quota_share_decide_alone(struct pgw_quota_share *share,
-                             const struct pgw_quota_terms *terms,
-                             const struct pgw_quota_bounds *bounds,
-                             uint32_t entries, double cost, uint64_t now_us)
+pgw_quota_share_decide_locally(struct pgw_quota_share *share,
+                               const struct pgw_quota_limits *limits,
+                               const struct pgw_quota_bounds *bounds,
+                               uint32_t entries, double cost, uint64_t now_us)
 {
     /* In a window at most what has gathered before it, and what comes in it.
      */
     double most =
-        pgw_quota_beyond(bounds, terms) * ALONE_PART / 2 / MAX(entries, 1);
+        pgw_quota_overage(bounds, limits) * ALONE_PART / 2 / MAX(entries, 1);
 
-    if (is_plenty(share, terms, now_us) && own_part(share, entries) > 0) {
+    if (is_plenty(share, limits, now_us) && own_part(share, entries) > 0) {
         return PGW_QUOTA_ADMIT;
     }
     if (share->alone_at_us > 0 && bounds->window_s > 0) {
@@ -77,16 +77,17 @@
 }
 
 bool
-pgw_quota_share_is_due(const struct pgw_quota_share *share,
-                       const struct pgw_quota_terms *terms, uint32_t entries)
+pgw_quota_share_report_is_due(const struct pgw_quota_share *share,
+                              const struct pgw_quota_limits *limits,
+                              uint32_t entries)
 {
     return share->unreported * MAX(entries, 1) * REPORT_STEPS >
-           terms->burst * FREE_PART;
+           limits->burst * FREE_PART;
 }
 
 void
-pgw_quota_share_report(struct pgw_quota_share *share,
-                       struct pgw_quota_request *out)
+pgw_quota_share_take_unreported(struct pgw_quota_share *share,
+                                struct pgw_quota_request *out)
 {
     out->spent = share->unreported;
     out->refused = share->refused;
@@ -96,8 +97,9 @@
 }
 
 void
-pgw_quota_share_take(struct pgw_quota_share *share,
-                     const struct pgw_quota_answer *answer, uint64_t now_us)
+pgw_quota_share_apply_answer(struct pgw_quota_share *share,
+                             const struct pgw_quota_answer *answer,
+                             uint64_t now_us)
 {
     share->level = answer->level;
     share->level_at_us = now_us;
--- a/src/gateway/quota_share.h
+++ b/src/gateway/quota_share.h
@@ -55,45 +55,45 @@
 /**
  * pgw_quota_share_decide() - on a request that has come
  * @share: of its workspace
- * @terms: its quota
+ * @limits: its quota
  * @entries: entries that there are
  * @cost: its units
  * @now_us: time that also counts while the process is suspended
  */
 enum pgw_quota_verdict
 pgw_quota_share_decide(const struct pgw_quota_share *share,
-                       const struct pgw_quota_terms *terms, uint32_t entries,
+                       const struct pgw_quota_limits *limits, uint32_t entries,
                        double cost, uint64_t now_us);
 
 /**
- * pgw_quota_share_decide_alone() - on a request to which no owner answers
+ * pgw_quota_share_decide_locally() - on a request to which no owner answers
  *
  * @bounds: what may be spent beyond the quotas; the rest as above
  *
  * Return: never %PGW_QUOTA_ASK.
  */
 enum pgw_quota_verdict
-pgw_quota_share_decide_alone(struct pgw_quota_share *share,
-                             const struct pgw_quota_terms *terms,
-                             const struct pgw_quota_bounds *bounds,
-                             uint32_t entries, double cost, uint64_t now_us);
+pgw_quota_share_decide_locally(struct pgw_quota_share *share,
+                               const struct pgw_quota_limits *limits,
+                               const struct pgw_quota_bounds *bounds,
+                               uint32_t entries, double cost, uint64_t now_us);
 
 /** pgw_quota_share_spend() - units were admitted, or given back if below 0 */
 void pgw_quota_share_spend(struct pgw_quota_share *share, double units);
 
-/** pgw_quota_share_is_due() - what was spent must be reported now */
-bool pgw_quota_share_is_due(const struct pgw_quota_share *share,
-                            const struct pgw_quota_terms *terms,
-                            uint32_t entries);
+/** pgw_quota_share_report_is_due() - what was spent must be reported now */
+bool pgw_quota_share_report_is_due(const struct pgw_quota_share *share,
+                                   const struct pgw_quota_limits *limits,
+                                   uint32_t entries);
 
-/** pgw_quota_share_report() - fill in what is unreported, and count it as
- * reported */
-void pgw_quota_share_report(struct pgw_quota_share *share,
-                            struct pgw_quota_request *out);
+/** pgw_quota_share_take_unreported() - fill in what is unreported, and count
+ * it as reported */
+void pgw_quota_share_take_unreported(struct pgw_quota_share *share,
+                                     struct pgw_quota_request *out);
 
-/** pgw_quota_share_take() - the owner's answer */
-void pgw_quota_share_take(struct pgw_quota_share *share,
-                          const struct pgw_quota_answer *answer,
-                          uint64_t now_us);
+/** pgw_quota_share_apply_answer() - the owner's answer */
+void pgw_quota_share_apply_answer(struct pgw_quota_share *share,
+                                  const struct pgw_quota_answer *answer,
+                                  uint64_t now_us);
 
 #endif
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -30,7 +30,8 @@
     for (unsigned i = 0; i < head->count; i++) {
         const char *name = pgw_http_head_name(head, i);
 
-        if (!pgw_http_head_is_hop(head, i) && codec->keep_answer_field(name)) {
+        if (!pgw_http_head_is_hop_by_hop(head, i) &&
+            codec->keep_answer_field(name)) {
             g_string_append_printf(out, "%s: %s\r\n", name,
                                    pgw_http_head_value(head, i));
         }
@@ -45,7 +46,7 @@
     struct pgw_answer_facts facts = {0};
 
     exchange->last_byte_us = pgw_now_us();
-    pgw_upstream_note_answer(exchange->upstream, exchange->last_byte_us);
+    pgw_upstream_mark_answering(exchange->upstream, exchange->last_byte_us);
     codec->read_answer(&facts, head);
     /*
      * Failure: the answer to an earlier request on this connection comes late,
@@ -61,7 +62,8 @@
     }
 #endif
     if (facts.has_load) {
-        pgw_upstream_take_load(exchange->upstream, &facts.load, pgw_now_us());
+        pgw_upstream_update_load(exchange->upstream, &facts.load,
+                                 pgw_now_us());
     }
     exchange->status = head->status;
     exchange->not_run = facts.not_run;
@@ -73,12 +75,12 @@
             pgw_log_info("upstream_displaced", "upstream=%s by=%s",
                          exchange->upstream->id, facts.instance);
             exchange->upstream->displaced = true;
-            exchange->upstream->ended_at_us = pgw_now_us();
+            exchange->upstream->replaced_at_us = pgw_now_us();
             pgw_crash_quarantine_add_crash(exchange->gateway->poison,
                                            exchange->upstream->id,
                                            pgw_now_us());
-            if (exchange->gateway->options.on_answered_by != NULL) {
-                exchange->gateway->options.on_answered_by(
+            if (exchange->gateway->options.on_incarnation_seen != NULL) {
+                exchange->gateway->options.on_incarnation_seen(
                     facts.instance, exchange->gateway->options.context);
             }
         }
@@ -86,8 +88,8 @@
     }
     if (!facts.genuine) {
         pgw_call_cancel(call);
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
-        pgw_attempt_unknown(exchange, "not_genuine");
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_handle_unknown(exchange, "not_genuine");
         return true;
     }
     if (facts.weights > 0 && exchange->facts.model != NULL) {
@@ -115,8 +117,8 @@
     uint32_t read =
         exchange->prefill_tokens - MIN(fetched, exchange->prefill_tokens);
 
-    if (exchange->sends != 1 || exchange->load_seen > 1 ||
-        read < PGW_LONG_PREFILL) {
+    if (exchange->sends != 1 || exchange->load_at_choice > 1 ||
+        read < PGW_LONG_PREFILL_TOKENS) {
         return;
     }
     pgw_moving_average_add(
@@ -135,7 +137,7 @@
         exchange->first_event_us = pgw_now_us();
     }
     pgw_timer_stop(exchange->gateway->loop, &exchange->attempt_timer);
-    pgw_attempt_end_prefill(exchange);
+    pgw_attempt_count_prefill_end(exchange);
 }
 
 static void
@@ -145,8 +147,8 @@
 
     if (exchange->events.out_of_order) {
         pgw_call_cancel(&exchange->call);
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
-        pgw_attempt_give_up(exchange, "out_of_order");
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_abandon(exchange, "out_of_order");
         return;
     }
     if (whole == 0) {
@@ -171,7 +173,7 @@
     struct pgw_exchange *exchange = exchange_of(call);
 
     exchange->last_byte_us = pgw_now_us();
-    pgw_upstream_note_answer(exchange->upstream, exchange->last_byte_us);
+    pgw_upstream_mark_answering(exchange->upstream, exchange->last_byte_us);
     if (exchange->not_run || exchange->caller == NULL) {
         return;
     }
@@ -181,7 +183,7 @@
     }
     if (pgw_buffer_size(&exchange->answer) + size > ANSWER_MAX) {
         pgw_call_cancel(call);
-        pgw_attempt_unknown(exchange, "answer_too_large");
+        pgw_attempt_handle_unknown(exchange, "answer_too_large");
         return;
     }
     pgw_buffer_append(&exchange->answer, data, size);
@@ -235,34 +237,34 @@
     struct pgw_exchange *exchange = exchange_of(call);
 
     if (exchange->not_run) {
-        pgw_attempt_note(exchange, PGW_RESULT_REFUSED);
+        pgw_attempt_record_result(exchange, PGW_RESULT_REFUSED);
         if (exchange->runs > 0) {
             exchange->runs--;
         }
-        pgw_attempt_not_run(exchange, "not_run", true);
+        pgw_attempt_handle_not_run(exchange, "not_run", true);
         return;
     }
     /* An end in the middle of an event is none, and neither is an answer of
      * another kind to a stream that goes on. */
     if (pgw_buffer_size(&exchange->events.pending) > 0 ||
         (exchange->phase == PGW_PHASE_RELAYING && !exchange->is_stream)) {
-        pgw_attempt_note(exchange, PGW_RESULT_BROKEN);
+        pgw_attempt_record_result(exchange, PGW_RESULT_BROKEN);
         pgw_crash_quarantine_add_interrupted(
             exchange->gateway->poison, &exchange->fingerprint,
             exchange->upstream->id, pgw_now_us());
-        pgw_attempt_unknown(exchange, "cut_event");
+        pgw_attempt_handle_unknown(exchange, "cut_event");
         return;
     }
     if (exchange->status >= 500) {
-        pgw_attempt_note(exchange, PGW_RESULT_ERROR);
-        if (exchange->caller != NULL && pgw_attempt_may_repeat(exchange) &&
-            pgw_attempt_take_repeat(exchange)) {
-            pgw_attempt_repeat(exchange, "error");
+        pgw_attempt_record_result(exchange, PGW_RESULT_ERROR);
+        if (exchange->caller != NULL && pgw_attempt_may_retry(exchange) &&
+            pgw_attempt_take_retry(exchange)) {
+            pgw_attempt_retry(exchange, "error");
             return;
         }
     }
     else {
-        pgw_attempt_note(exchange, PGW_RESULT_GOOD);
+        pgw_attempt_record_result(exchange, PGW_RESULT_COMPLETED);
         pgw_crash_quarantine_clear(exchange->gateway->poison,
                                    &exchange->fingerprint);
     }
@@ -275,15 +277,15 @@
     static const char *const names[] = {
         [PGW_CALL_NO_CONNECTION] = "no_connection",
         [PGW_CALL_CLOSED] = "closed",
-        [PGW_CALL_GARBLED] = "garbled",
+        [PGW_CALL_MALFORMED] = "garbled",
         [PGW_CALL_TIMEOUT] = "timeout",
     };
     struct pgw_exchange *exchange = exchange_of(call);
 
     /* A reused connection may just have been closed for being idle. */
     if (why != PGW_CALL_CLOSED || !call->reused || call->answered) {
-        pgw_attempt_note(exchange, call->sent ? PGW_RESULT_BROKEN
-                                              : PGW_RESULT_UNREACHABLE);
+        pgw_attempt_record_result(
+            exchange, call->sent ? PGW_RESULT_BROKEN : PGW_RESULT_UNREACHABLE);
     }
     if (!call->sent) {
         /* Nobody listens at its address any more: what broke off there a
@@ -297,13 +299,13 @@
         if (exchange->runs > 0) {
             exchange->runs--;
         }
-        pgw_attempt_not_run(exchange, names[why], false);
+        pgw_attempt_handle_not_run(exchange, names[why], false);
         return;
     }
     pgw_crash_quarantine_add_interrupted(exchange->gateway->poison,
                                          &exchange->fingerprint,
                                          exchange->upstream->id, pgw_now_us());
-    pgw_attempt_unknown(exchange, names[why]);
+    pgw_attempt_handle_unknown(exchange, names[why]);
 }
 
 const struct pgw_call_ops pgw_relay_ops = {
--- a/src/gateway/report_budget.c
+++ b/src/gateway/report_budget.c
@@ -19,8 +19,8 @@
 #define FAR_PERIOD_BACK_US 110000
 
 bool
-pgw_report_budget_has(struct pgw_report_budget *budget, unsigned far_entries,
-                      uint64_t now_us)
+pgw_report_budget_allows_report(struct pgw_report_budget *budget,
+                                unsigned far_entries, uint64_t now_us)
 {
     double rate = far_entries > 0 ? NEAR_BYTES_BESIDE_FAR_S : NEAR_BYTES_S;
     double filled =
--- a/src/gateway/report_budget.h
+++ b/src/gateway/report_budget.h
@@ -23,16 +23,17 @@
 };
 
 /**
- * pgw_report_budget_has() - whether a report that can wait may be sent now
+ * pgw_report_budget_allows_report() - whether a report that can wait may be
+ * sent now
  * @budget: the budget
  * @far_entries: entries of other zones that get reports, too
  * @now_us: monotonic time
  */
-bool pgw_report_budget_has(struct pgw_report_budget *budget,
-                           unsigned far_entries, uint64_t now_us);
+bool pgw_report_budget_allows_report(struct pgw_report_budget *budget,
+                                     unsigned far_entries, uint64_t now_us);
 
 /** pgw_report_budget_spend() - so many bytes were sent; call
- * pgw_report_budget_has() before */
+ * pgw_report_budget_allows_report() before */
 void pgw_report_budget_spend(struct pgw_report_budget *budget, size_t bytes);
 
 /* Size of a report, in bytes: with and without who the engine is, and of a
--- a/src/gateway/response_timeout.c
+++ b/src/gateway/response_timeout.c
@@ -7,5 +7,5 @@
     if (prompt_tokens == 0) {
         return (uint64_t)((double)objective_us * share);
     }
-    return objective_us + (uint64_t)prompt_tokens * PGW_READ_TOKEN_US;
+    return objective_us + (uint64_t)prompt_tokens * PGW_PREFILL_TOKEN_US;
 }
--- a/src/gateway/response_timeout.h
+++ b/src/gateway/response_timeout.h
@@ -6,7 +6,7 @@
 /* Time for which an engine may read one prompt token before it is given up.
  * One with a full batch reads for several requests at a time, and what it has
  * read is lost when it is given up: the next engine would be as full. */
-#define PGW_READ_TOKEN_US 200
+#define PGW_PREFILL_TOKEN_US 200
 
 /**
  * pgw_response_timeout_us() - when a silent upstream is given up
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -27,8 +27,8 @@
 pgw_sidecar_link_upstream(const struct pgw_sidecar_links *links,
                           const char *engine)
 {
-    return pgw_upstream_table_at(pgw_gateway_upstreams(links->gateway),
-                                 engine);
+    return pgw_upstream_table_find_address(
+        pgw_gateway_upstreams(links->gateway), engine);
 }
 
 /* Sidecars count the entries that are connected to them. One that has just
@@ -61,7 +61,7 @@
         pgw_recent_parts_add(&upstream->expected, key, now_us);
     }
     else {
-        pgw_upstream_hold(upstream, key, word / 2);
+        pgw_upstream_set_cached_part(upstream, key, word / 2);
     }
 }
 
@@ -109,13 +109,13 @@
         pgw_sidecar_link_take_probe_answer(guard, upstream, state, now);
         return;
     }
-    upstream->guarded = true;
-    pgw_upstream_note_seen(upstream, now);
-    pgw_upstream_table_started(pgw_gateway_upstreams(guard->links->gateway),
-                               upstream, state->started_ms);
+    upstream->sidecar_is_reporting = true;
+    pgw_upstream_mark_seen(upstream, now);
+    pgw_upstream_table_set_start(pgw_gateway_upstreams(guard->links->gateway),
+                                 upstream, state->started_ms);
     pgw_sidecar_links_rollout_take_state(guard->links, upstream, state, now);
     if (state->parts_reset) {
-        pgw_upstream_forget_parts(upstream);
+        pgw_upstream_clear_parts(upstream);
     }
     for (size_t i = 0; i < state->n_part_keys && i < state->n_part_words;
          i++) {
@@ -125,14 +125,14 @@
     pgw_upstream_set_loading(upstream, state->loading || !state->alive,
                              now + (state->alive ? LOADING_MAX_US : FRESH_US));
     if (state->alive) {
-        pgw_upstream_take_load(upstream, &load, now);
+        pgw_upstream_update_load(upstream, &load, now);
     }
     else {
         pgw_crash_quarantine_add_crash(
             pgw_gateway_crash_quarantine(guard->links->gateway), upstream->id,
             now);
     }
-    pgw_gateway_pump(guard->links->gateway);
+    pgw_gateway_dispatch_queued(guard->links->gateway);
 }
 
 static bool
@@ -165,11 +165,11 @@
 static void
 forget_reports(struct pgw_upstream *upstream)
 {
-    upstream->guarded = false;
+    upstream->sidecar_is_reporting = false;
     upstream->loading = false;
-    upstream->loads_since_us = 0;
-    upstream->loads_next = false;
-    pgw_upstream_forget_parts(upstream);
+    upstream->loading_since_us = 0;
+    upstream->is_next_to_load = false;
+    pgw_upstream_clear_parts(upstream);
 }
 
 /* Only a machine that answers can say that nobody listens: one that is cut off
@@ -479,8 +479,8 @@
     links->divided = divided;
     pgw_log_info("far_reports", "asked_for=%d entries=%u", (int)divided,
                  links->entries);
-    pgw_upstream_table_set_divided(pgw_gateway_upstreams(links->gateway),
-                                   divided);
+    pgw_upstream_table_set_remote_on_request(
+        pgw_gateway_upstreams(links->gateway), divided);
 }
 
 void
@@ -491,7 +491,7 @@
         .reports = reports_reach(links, &engines),
         .probes = engines.all <= PGW_PROBE_LINKS_MAX &&
                   pgw_policy_is_on(pgw_gateway_policy(links->gateway),
-                                   PGW_HOME_PROBES),
+                                   PGW_MECHANISM_HOME_PROBES),
     };
     uint64_t now = pgw_now_us();
     GHashTableIter iter;
--- a/src/gateway/sidecar_links_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -110,9 +110,9 @@
     }
     message.workspace = ask->request.workspace;
     message.ask = ask->ask;
-    message.rate = ask->request.terms.rate;
-    message.burst = ask->request.terms.burst;
-    message.version = ask->request.terms.version;
+    message.rate = ask->request.limits.rate;
+    message.burst = ask->request.limits.burst;
+    message.version = ask->request.limits.version;
     message.spent = ask->request.spent;
     message.refused = ask->request.refused;
     message.cost = ask->request.cost;
@@ -135,8 +135,9 @@
         pgw_sidecar_link_upstream(guard->links, guard->engine);
 
     if (upstream != NULL) {
-        pgw_quota_answered(pgw_gateway_quota(guard->links->gateway), upstream,
-                           message->workspace, message->ask, &answer);
+        pgw_quota_handle_answer(pgw_gateway_quota(guard->links->gateway),
+                                upstream, message->workspace, message->ask,
+                                &answer);
     }
 }
 
@@ -164,8 +165,8 @@
     struct pgw_gateway *gateway = guard->links->gateway;
     struct pgw_upstream_load load = pgw_sidecar_link_load(state);
 
-    pgw_upstream_table_started(pgw_gateway_upstreams(gateway), upstream,
-                               state->started_ms);
+    pgw_upstream_table_set_start(pgw_gateway_upstreams(gateway), upstream,
+                                 state->started_ms);
     for (size_t i = 0; i < state->n_models; i++) {
         pgw_upstream_set_version(upstream, state->models[i]->name,
                                  state->models[i]->version);
@@ -179,7 +180,7 @@
         upstream, state->loading || !state->alive,
         now_us + (state->alive ? LOADING_HOLDS_US : DEAD_HOLDS_US));
     if (state->alive) {
-        pgw_upstream_take_load(upstream, &load, now_us);
+        pgw_upstream_update_load(upstream, &load, now_us);
     }
     pgw_gateway_probe_answered(gateway, state->probe, upstream);
 }
--- a/src/gateway/sidecar_links_rollout.c
+++ b/src/gateway/sidecar_links_rollout.c
@@ -58,8 +58,8 @@
 soon_running(const struct pgw_upstream *upstream, size_t model,
              uint64_t wanted)
 {
-    return upstream->loads_since_us == 0 ? upstream->models[model].version
-                                         : wanted - 1;
+    return upstream->loading_since_us == 0 ? upstream->models[model].version
+                                           : wanted - 1;
 }
 
 /* By itself it begins late; it is told when its turn has come. */
@@ -75,14 +75,14 @@
     }
     for (size_t i = 0; i < upstream->model_count; i++) {
         const char *model = upstream->models[i].model;
-        uint64_t version = pgw_gateway_weights(links->gateway, model);
+        uint64_t version = pgw_gateway_target_version(links->gateway, model);
         uint64_t left;
 
         if (version == 0) {
             continue;
         }
-        left = pgw_gateway_weights_left(links->gateway, model,
-                                        soon_running(upstream, i, version));
+        left = pgw_gateway_weights_usable_for_us(
+            links->gateway, model, soon_running(upstream, i, version));
         tell_weights(
             guard, upstream, model, version,
             left == UINT64_MAX
@@ -120,8 +120,8 @@
     uint64_t limit = MAX(4 * pgw_weights_load_times_expected_us(&links->pace),
                          UNDER_WAY_LEAST_US);
 
-    return upstream->loads_since_us > 0 &&
-           pgw_now_us() - upstream->loads_since_us < limit;
+    return upstream->loading_since_us > 0 &&
+           pgw_now_us() - upstream->loading_since_us < limit;
 }
 
 /* Whether its engine can load now, if it is told to. */
@@ -130,9 +130,9 @@
            const struct pgw_upstream *upstream)
 {
     return guard->link != NULL && !guard->on_request && upstream != NULL &&
-           upstream->guarded && !upstream->leaving && !upstream->removed &&
-           !upstream->displaced &&
-           (!upstream->loading || upstream->loads_since_us > 0);
+           upstream->sidecar_is_reporting && !upstream->leaving &&
+           !upstream->removed && !upstream->displaced &&
+           (!upstream->loading || upstream->loading_since_us > 0);
 }
 
 static void
@@ -164,7 +164,7 @@
             pgw_sidecar_link_upstream(links, guard->engine);
         size_t model = index_of_model(upstream, rollout->model);
 
-        upstream->loads_next = engine->next;
+        upstream->is_next_to_load = engine->next;
         if (engine->go && guard->told[model] != rollout->wanted) {
             guard->told[model] = rollout->wanted;
             tell_weights(guard, upstream, rollout->model, rollout->wanted, 0);
@@ -190,7 +190,7 @@
     unsigned size;
 
     if (!pgw_policy_is_on(pgw_gateway_policy(links->gateway),
-                          PGW_LOAD_WINDOW)) {
+                          PGW_MECHANISM_LOAD_WINDOW)) {
         options.share = 1.0;
     }
     g_hash_table_iter_init(&iter, links->by_engine);
@@ -218,10 +218,10 @@
     GHashTableIter iter;
     void *model;
 
-    g_hash_table_iter_init(&iter, pgw_gateway_models(links->gateway));
+    g_hash_table_iter_init(&iter, pgw_gateway_target_models(links->gateway));
     while (g_hash_table_iter_next(&iter, &model, NULL)) {
         unsigned size = open_window(
-            links, model, pgw_gateway_weights(links->gateway, model));
+            links, model, pgw_gateway_target_version(links->gateway, model));
 
         widest = MAX(widest, size);
     }
@@ -265,20 +265,20 @@
         pgw_upstream_set_version(upstream, state->models[i]->name,
                                  state->models[i]->version);
     }
-    if (!loads && newer && upstream->loads_since_us > 0) {
+    if (!loads && newer && upstream->loading_since_us > 0) {
         pgw_weights_load_times_add(&links->pace,
-                                   now_us - upstream->loads_since_us);
-        pgw_gateway_set_load(links->gateway,
-                             pgw_weights_load_times_expected_us(&links->pace));
+                                   now_us - upstream->loading_since_us);
+        pgw_gateway_set_weights_loading_time(
+            links->gateway, pgw_weights_load_times_expected_us(&links->pace));
     }
-    if (newer || loads != (upstream->loads_since_us > 0)) {
+    if (newer || loads != (upstream->loading_since_us > 0)) {
         pgw_sidecar_links_rollout_schedule(links);
     }
     if (!loads) {
-        upstream->loads_since_us = 0;
+        upstream->loading_since_us = 0;
     }
-    else if (upstream->loads_since_us == 0) {
-        upstream->loads_since_us = now_us;
+    else if (upstream->loading_since_us == 0) {
+        upstream->loading_since_us = now_us;
     }
 }
 
--- a/src/gateway/sidecarless.c
+++ b/src/gateway/sidecarless.c
@@ -56,7 +56,7 @@
 }
 
 static bool
-may_order(void *context)
+may_send_order(void *context)
 {
     const struct pgw_sidecarless *self = context;
 
@@ -67,7 +67,8 @@
 wanted_version(const struct pgw_sidecarless *self,
                const struct pgw_upstream *upstream, size_t model)
 {
-    return pgw_gateway_weights(self->gateway, upstream->models[model].model);
+    return pgw_gateway_target_version(self->gateway,
+                                      upstream->models[model].model);
 }
 
 /* Whether some of its weights are known to be older than the named ones. */
@@ -89,9 +90,9 @@
 needs_orders(const struct pgw_sidecarless *self,
              const struct pgw_upstream *upstream)
 {
-    return upstream->same_zone && !upstream->guarded && !upstream->leaving &&
-           !upstream->removed && upstream->delisted_until_us == 0 &&
-           is_behind(self, upstream) &&
+    return upstream->same_zone && !upstream->sidecar_is_reporting &&
+           !upstream->leaving && !upstream->removed &&
+           upstream->delisted_until_us == 0 && is_behind(self, upstream) &&
            pgw_sidecar_links_is_refused(self->links, upstream,
                                         self->options.refused_us);
 }
@@ -106,7 +107,7 @@
         .codec = self->options.codec,
         .report_lag_us = REPORT_LAG_US,
         .get_token = get_token,
-        .may_order = may_order,
+        .may_send_order = may_send_order,
         .context = self,
     };
     struct ward *ward = g_new0(struct ward, 1);
@@ -192,7 +193,7 @@
     void *context = self->options.context;
 
     switch (pgw_lease_step(&self->lease, pgw_boot_now_us())) {
-    case PGW_LEASE_REST:
+    case PGW_LEASE_IDLE:
         break;
     case PGW_LEASE_READ:
         store->read(context);
@@ -217,7 +218,7 @@
         self->held = holds;
     }
     drop_wards(self, !holds);
-    pgw_lease_want(&self->lease, look(self, holds));
+    pgw_lease_set_wanted(&self->lease, look(self, holds));
     step_lease(self);
 }
 
@@ -261,26 +262,26 @@
 }
 
 void
-pgw_sidecarless_take_read(struct pgw_sidecarless *unguarded,
-                          enum pgw_lease_result result, bool mine,
-                          uint64_t number, uint64_t revision)
+pgw_sidecarless_finish_read(struct pgw_sidecarless *unguarded,
+                            enum pgw_lease_result result, bool mine,
+                            uint64_t number, uint64_t revision)
 {
-    pgw_lease_take_read(&unguarded->lease, result, mine, number, revision,
-                        pgw_boot_now_us());
+    pgw_lease_finish_read(&unguarded->lease, result, mine, number, revision,
+                          pgw_boot_now_us());
     step_lease(unguarded);
 }
 
 void
-pgw_sidecarless_take_write(struct pgw_sidecarless *unguarded,
-                           enum pgw_lease_result result, uint64_t revision)
+pgw_sidecarless_finish_write(struct pgw_sidecarless *unguarded,
+                             enum pgw_lease_result result, uint64_t revision)
 {
-    pgw_lease_take_write(&unguarded->lease, result, revision,
-                         pgw_boot_now_us());
+    pgw_lease_finish_write(&unguarded->lease, result, revision,
+                           pgw_boot_now_us());
     tick(unguarded);
 }
 
 void
-pgw_sidecarless_take_token(struct pgw_sidecarless *unguarded, uint64_t token)
+pgw_sidecarless_finish_token(struct pgw_sidecarless *unguarded, uint64_t token)
 {
     GHashTableIter iter;
     gpointer value;
@@ -288,6 +289,6 @@
     unguarded->token_asked = false;
     g_hash_table_iter_init(&iter, unguarded->wards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pgw_engine_sidecar_take_token(((struct ward *)value)->guard, token);
+        pgw_engine_sidecar_set_token(((struct ward *)value)->guard, token);
     }
 }
--- a/src/gateway/sidecarless.h
+++ b/src/gateway/sidecarless.h
@@ -17,11 +17,11 @@
 
 /**
  * struct pgw_sidecarless_store - calls to the platform's store
- * @read: read the lease; ends with pgw_sidecarless_take_read()
+ * @read: read the lease; ends with pgw_sidecarless_finish_read()
  * @write: write it, naming this process and the number of the write;
- *   @revision 0: create it. Ends with pgw_sidecarless_take_write()
+ *   @revision 0: create it. Ends with pgw_sidecarless_finish_write()
  * @get_token: write for a fencing token; ends with
- * pgw_sidecarless_take_token()
+ * pgw_sidecarless_finish_token()
  */
 struct pgw_sidecarless_store {
     void (*read)(void *context);
@@ -58,18 +58,18 @@
                     const struct pgw_sidecarless_options *options);
 void pgw_sidecarless_free(struct pgw_sidecarless *unguarded);
 
-/** pgw_sidecarless_take_read() - see pgw_lease_take_read() */
-void pgw_sidecarless_take_read(struct pgw_sidecarless *unguarded,
-                               enum pgw_lease_result result, bool mine,
-                               uint64_t number, uint64_t revision);
+/** pgw_sidecarless_finish_read() - see pgw_lease_finish_read() */
+void pgw_sidecarless_finish_read(struct pgw_sidecarless *unguarded,
+                                 enum pgw_lease_result result, bool mine,
+                                 uint64_t number, uint64_t revision);
 
-/** pgw_sidecarless_take_write() - see pgw_lease_take_write() */
-void pgw_sidecarless_take_write(struct pgw_sidecarless *unguarded,
-                                enum pgw_lease_result result,
-                                uint64_t revision);
+/** pgw_sidecarless_finish_write() - see pgw_lease_finish_write() */
+void pgw_sidecarless_finish_write(struct pgw_sidecarless *unguarded,
+                                  enum pgw_lease_result result,
+                                  uint64_t revision);
 
-/** pgw_sidecarless_take_token() - a fencing token; 0: none can be had now */
-void pgw_sidecarless_take_token(struct pgw_sidecarless *unguarded,
-                                uint64_t token);
+/** pgw_sidecarless_finish_token() - a fencing token; 0: none can be had now */
+void pgw_sidecarless_finish_token(struct pgw_sidecarless *unguarded,
+                                  uint64_t token);
 
 #endif
--- a/src/gateway/source.c
+++ b/src/gateway/source.c
@@ -9,7 +9,7 @@
                const struct pgw_source_options *options)
 {
     return input->has_holder &&
-           (!input->has_store || !options->rest_from_store ||
+           (!input->has_store || !options->requires_full_holder ||
             input->holder_missing < options->fetch_min);
 }
 
@@ -20,7 +20,7 @@
     bool lacks = input->missing >= options->fetch_min;
 
     if (!lacks && input->shared < options->always_from) {
-        return (struct pgw_source){.from = PGW_SOURCE_READ};
+        return (struct pgw_source){.from = PGW_SOURCE_PREFILL};
     }
     if (is_good_holder(input, options)) {
         return (struct pgw_source){.from = PGW_SOURCE_ENGINE};
@@ -28,5 +28,5 @@
     if (input->has_store) {
         return (struct pgw_source){.from = PGW_SOURCE_STORE, .save = lacks};
     }
-    return (struct pgw_source){.from = PGW_SOURCE_READ};
+    return (struct pgw_source){.from = PGW_SOURCE_PREFILL};
 }
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -37,27 +37,27 @@
  * @always_from: prompts that share so many tokens are fetched also where the
  *   engine should have all: an eviction that was not heard of costs reading
  *   them again, a needless fetch a millisecond
- * @rest_from_store: a holder that lacks some of the parts is no source
+ * @requires_full_holder: a holder that lacks some of the parts is no source
  */
 struct pgw_source_options {
     uint32_t fetch_min;
     uint32_t always_from;
-    bool rest_from_store;
+    bool requires_full_holder;
 };
 
 #define PGW_SOURCE_OPTIONS_INIT                                               \
     {                                                                         \
-        .fetch_min = 32, .always_from = 1024, .rest_from_store = true         \
+        .fetch_min = 32, .always_from = 1024, .requires_full_holder = true    \
     }
 
 /**
  * enum pgw_source_from - where parts come from
- * @PGW_SOURCE_READ: the engine reads what it lacks
+ * @PGW_SOURCE_PREFILL: the engine reads what it lacks
  * @PGW_SOURCE_ENGINE: from the holder
  * @PGW_SOURCE_STORE: from the store
  */
 enum pgw_source_from {
-    PGW_SOURCE_READ,
+    PGW_SOURCE_PREFILL,
     PGW_SOURCE_ENGINE,
     PGW_SOURCE_STORE,
 };
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -37,7 +37,7 @@
                      "upstream=%s silent=%d heard_ms=%" G_GUINT64_FORMAT
                      " inflight=%u",
                      upstream->id, silent,
-                     pgw_upstream_unseen_us(upstream, now_us) / 1000,
+                     pgw_upstream_since_seen_us(upstream, now_us) / 1000,
                      upstream->inflight);
     }
     return silent;
@@ -54,7 +54,7 @@
         return false;
     }
     return exchange->phase == PGW_PHASE_RELAYING
-               ? pgw_upstream_unseen_us(upstream, now_us) >= STILL_US
+               ? pgw_upstream_since_seen_us(upstream, now_us) >= STILL_US
                : pgw_upstream_liveness(upstream, now_us) != PGW_RESPONSIVE;
 }
 
@@ -62,27 +62,27 @@
 static const char *
 why_it_stays(struct pgw_exchange *exchange)
 {
-    if (!pgw_attempt_may_repeat(exchange)) {
+    if (!pgw_attempt_may_retry(exchange)) {
         return "may_not_repeat";
     }
-    if (!pgw_exchange_has_place(exchange)) {
+    if (!pgw_exchange_has_free_upstream(exchange)) {
         return "no_place";
     }
-    return pgw_attempt_take_repeat(exchange) ? NULL : "no_repeat_left";
+    return pgw_attempt_take_retry(exchange) ? NULL : "no_repeat_left";
 }
 
 static void
 note_stuck(struct pgw_exchange *exchange, const char *stays, uint64_t now_us)
 {
-    if (exchange->stuck_told) {
+    if (exchange->stuck_is_logged) {
         return;
     }
-    exchange->stuck_told = true;
+    exchange->stuck_is_logged = true;
     pgw_log_info(
         "request_stuck",
         "request=%s upstream=%s silent_ms=%" G_GUINT64_FORMAT " stays=%s",
         exchange->facts.id, exchange->upstream->id,
-        pgw_upstream_unseen_us(exchange->upstream, now_us) / 1000, stays);
+        pgw_upstream_since_seen_us(exchange->upstream, now_us) / 1000, stays);
 }
 
 /*
@@ -104,8 +104,8 @@
     }
     pgw_metric_counter_add(&moved, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_note(exchange, PGW_RESULT_TIMEOUT);
-    pgw_attempt_repeat(exchange, "silent");
+    pgw_attempt_record_result(exchange, PGW_RESULT_TIMEOUT);
+    pgw_attempt_retry(exchange, "silent");
 }
 
 /* Sent to a process whose place another one has taken, and nothing has come
@@ -114,11 +114,11 @@
 is_orphaned(const struct pgw_exchange *exchange, uint64_t now_us)
 {
     uint64_t ended =
-        exchange->upstream == NULL ? 0 : exchange->upstream->ended_at_us;
+        exchange->upstream == NULL ? 0 : exchange->upstream->replaced_at_us;
 
     return exchange->sent_us < ended && pgw_call_is_running(&exchange->call) &&
            now_us >= MAX(ended, exchange->last_byte_us) +
-                         exchange->gateway->options.last_bytes_us;
+                         exchange->gateway->options.final_answer_grace_us;
 }
 
 /*
@@ -131,11 +131,11 @@
 {
     pgw_metric_counter_add(&orphaned, 1);
     pgw_call_cancel(&exchange->call);
-    pgw_attempt_unknown(exchange, "process_ended");
+    pgw_attempt_handle_unknown(exchange, "process_ended");
 }
 
 void
-pgw_unresponsive_look(struct pgw_gateway *gateway)
+pgw_unresponsive_check(struct pgw_gateway *gateway)
 {
     uint64_t now = pgw_now_us();
     unsigned silent = 0;
@@ -165,7 +165,7 @@
     struct pgw_gateway *gateway =
         pgw_container_of(timer, struct pgw_gateway, unresponsive_timer);
 
-    pgw_unresponsive_look(gateway);
+    pgw_unresponsive_check(gateway);
     pgw_timer_start(gateway->loop, timer, LOOK_US);
 }
 
--- a/src/gateway/unresponsive.h
+++ b/src/gateway/unresponsive.h
@@ -16,7 +16,7 @@
 /** pgw_unresponsive_stop() - look no more */
 void pgw_unresponsive_stop(struct pgw_gateway *gateway);
 
-/** pgw_unresponsive_look() - look now; on the gateway's thread */
-void pgw_unresponsive_look(struct pgw_gateway *gateway);
+/** pgw_unresponsive_check() - look now; on the gateway's thread */
+void pgw_unresponsive_check(struct pgw_gateway *gateway);
 
 #endif
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -46,7 +46,7 @@
     GHashTable *by_id;
     GHashTable *by_address; /* an address has one upstream, the newest */
     GHashTable *by_service; /* name -> struct pgw_upstream_pool */
-    bool divided;
+    bool remote_on_request;
     struct pgw_list all;
     void (*on_lost)(struct pgw_upstream *upstream, void *context);
     void *context;
@@ -58,7 +58,7 @@
     struct pgw_upstream_pool *pool = data;
 
     g_ptr_array_unref(pool->all);
-    g_ptr_array_unref(pool->near);
+    g_ptr_array_unref(pool->local);
     g_free(pool);
 }
 
@@ -141,7 +141,7 @@
     if (pool == NULL) {
         pool = g_new0(struct pgw_upstream_pool, 1);
         pool->all = g_ptr_array_new();
-        pool->near = g_ptr_array_new();
+        pool->local = g_ptr_array_new();
         g_hash_table_insert(table->by_service, g_strdup(service), pool);
     }
     return pool;
@@ -155,24 +155,25 @@
 
     g_ptr_array_add(pool->all, upstream);
     if (upstream->same_zone) {
-        g_ptr_array_add(pool->near, upstream);
+        g_ptr_array_add(pool->local, upstream);
     }
     pool->engines = pool->engines || engine;
-    pool->divided = pool->engines && table->divided;
+    pool->remote_on_request = pool->engines && table->remote_on_request;
 }
 
 void
-pgw_upstream_table_set_divided(struct pgw_upstream_table *table, bool divided)
+pgw_upstream_table_set_remote_on_request(struct pgw_upstream_table *table,
+                                         bool remote_on_request)
 {
     GHashTableIter iter;
     void *value;
 
-    table->divided = divided;
+    table->remote_on_request = remote_on_request;
     g_hash_table_iter_init(&iter, table->by_service);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pgw_upstream_pool *pool = value;
 
-        pool->divided = pool->engines && divided;
+        pool->remote_on_request = pool->engines && remote_on_request;
     }
 }
 
@@ -220,7 +221,8 @@
               const struct pgw_upstream_facts *facts)
 {
 #ifndef PGW_DISABLE_GATEWAY_ADDRESS
-    struct pgw_upstream *other = pgw_upstream_table_at(table, facts->address);
+    struct pgw_upstream *other =
+        pgw_upstream_table_find_address(table, facts->address);
 
     if (other != NULL) {
         /* One that was seen not to be there keeps no address. */
@@ -229,7 +231,7 @@
         }
         pgw_log_info("upstream_replaced", "upstream=%s by=%s", other->id,
                      facts->id);
-        other->ended_at_us = (uint64_t)g_get_monotonic_time();
+        other->replaced_at_us = (uint64_t)g_get_monotonic_time();
         pgw_upstream_table_remove(table, other);
     }
 #endif
@@ -243,26 +245,26 @@
     upstream->leaving = false;
     upstream->displaced = false;
     upstream->loading = false;
-    upstream->loads_since_us = 0;
-    upstream->cold_until_us = 0;
+    upstream->loading_since_us = 0;
+    upstream->warmup_until_us = 0;
     upstream->load = (struct pgw_upstream_load){0};
     upstream->last_seen_us = 0;
     upstream->probe_at_us = 0;
-    upstream->load_at_us = 0;
-    upstream->memory_at_us = 0;
+    upstream->load_reported_at_us = 0;
+    upstream->kv_reported_at_us = 0;
     upstream->failures = 0;
     upstream->failure_rate = 0;
     upstream->avoid_until_us = 0;
     upstream->refusals = 0;
     upstream->full_until_us = 0;
-    pgw_upstream_forget_parts(upstream);
+    pgw_upstream_clear_parts(upstream);
 }
 
 static bool
 is_earlier_start(const struct pgw_upstream *upstream, uint64_t started_ms)
 {
-    for (size_t i = 0; i < upstream->earlier_count; i++) {
-        if (upstream->earlier_ms[i] == started_ms) {
+    for (size_t i = 0; i < upstream->earlier_start_count; i++) {
+        if (upstream->earlier_starts_ms[i] == started_ms) {
             return true;
         }
     }
@@ -272,17 +274,18 @@
 static void
 remember_start(struct pgw_upstream *upstream, uint64_t started_ms)
 {
-    if (upstream->earlier_count == PGW_UPSTREAM_STARTS_MAX) {
-        memmove(upstream->earlier_ms, upstream->earlier_ms + 1,
+    if (upstream->earlier_start_count == PGW_UPSTREAM_STARTS_MAX) {
+        memmove(upstream->earlier_starts_ms, upstream->earlier_starts_ms + 1,
                 (PGW_UPSTREAM_STARTS_MAX - 1) * sizeof(uint64_t));
-        upstream->earlier_count--;
+        upstream->earlier_start_count--;
     }
-    upstream->earlier_ms[upstream->earlier_count++] = started_ms;
+    upstream->earlier_starts_ms[upstream->earlier_start_count++] = started_ms;
 }
 
 void
-pgw_upstream_table_started(struct pgw_upstream_table *table,
-                           struct pgw_upstream *upstream, uint64_t started_ms)
+pgw_upstream_table_set_start(struct pgw_upstream_table *table,
+                             struct pgw_upstream *upstream,
+                             uint64_t started_ms)
 {
     uint64_t before = upstream->started_ms;
 
@@ -298,7 +301,7 @@
                  " before_ms=%" G_GUINT64_FORMAT,
                  upstream->id, started_ms, before);
     remember_start(upstream, before);
-    upstream->ended_at_us = (uint64_t)g_get_monotonic_time();
+    upstream->replaced_at_us = (uint64_t)g_get_monotonic_time();
     if (!upstream->leaving && table->on_lost != NULL) {
         table->on_lost(upstream, table->context);
     }
@@ -340,7 +343,7 @@
     if (is_late_word(upstream, facts)) {
         return upstream;
     }
-    pgw_upstream_table_started(table, upstream, facts->started_ms);
+    pgw_upstream_table_set_start(table, upstream, facts->started_ms);
     upstream->slots = MAX(facts->slots, 1);
     upstream->revision = facts->revision;
     upstream->displaced = false;
@@ -355,12 +358,12 @@
 #else
     upstream->leaving = facts->leaving;
 #endif
-    upstream->cold_until_us =
-        facts->cold_ms == 0
+    upstream->warmup_until_us =
+        facts->warmup_ms == 0
             ? 0
-            : (uint64_t)g_get_monotonic_time() + facts->cold_ms * 1000ULL;
+            : (uint64_t)g_get_monotonic_time() + facts->warmup_ms * 1000ULL;
     /* The sidecar's word is newer than the list's. */
-    if (!upstream->guarded) {
+    if (!upstream->sidecar_is_reporting) {
         for (size_t i = 0; i < facts->model_count; i++) {
             pgw_upstream_set_version(upstream, facts->models[i].model,
                                      facts->models[i].version);
@@ -379,11 +382,12 @@
         table->on_lost(upstream, table->context);
     }
     g_hash_table_remove(table->by_id, upstream->id);
-    if (pgw_upstream_table_at(table, upstream->address_text) == upstream) {
+    if (pgw_upstream_table_find_address(table, upstream->address_text) ==
+        upstream) {
         g_hash_table_remove(table->by_address, upstream->address_text);
     }
     g_ptr_array_remove(pool->all, upstream);
-    g_ptr_array_remove(pool->near, upstream);
+    g_ptr_array_remove(pool->local, upstream);
     pgw_list_remove(&upstream->in_table);
     upstream->removed = true;
     pgw_upstream_unref(upstream);
@@ -396,8 +400,8 @@
 }
 
 struct pgw_upstream *
-pgw_upstream_table_at(const struct pgw_upstream_table *table,
-                      const char *address)
+pgw_upstream_table_find_address(const struct pgw_upstream_table *table,
+                                const char *address)
 {
     return g_hash_table_lookup(table->by_address, address);
 }
@@ -441,22 +445,23 @@
 }
 
 void
-pgw_upstream_note_seen(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_mark_seen(struct pgw_upstream *upstream, uint64_t now_us)
 {
     upstream->last_seen_us = now_us;
     upstream->probe_at_us = 0;
 }
 
 void
-pgw_upstream_note_answer(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_mark_answering(struct pgw_upstream *upstream, uint64_t now_us)
 {
     if (upstream->last_seen_us > 0) {
-        pgw_upstream_note_seen(upstream, now_us);
+        pgw_upstream_mark_seen(upstream, now_us);
     }
 }
 
 uint64_t
-pgw_upstream_unseen_us(const struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_since_seen_us(const struct pgw_upstream *upstream,
+                           uint64_t now_us)
 {
     uint64_t silent_us =
         upstream->last_seen_us == 0 || now_us < upstream->last_seen_us
@@ -472,7 +477,7 @@
 enum pgw_liveness
 pgw_upstream_liveness(const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t silent_us = pgw_upstream_unseen_us(upstream, now_us);
+    uint64_t silent_us = pgw_upstream_since_seen_us(upstream, now_us);
 
     if (silent_us >= UNRESPONSIVE_US) {
         return PGW_UNRESPONSIVE;
@@ -484,7 +489,7 @@
 }
 
 void
-pgw_upstream_probe(struct pgw_upstream *upstream, uint64_t now_us)
+pgw_upstream_schedule_probe(struct pgw_upstream *upstream, uint64_t now_us)
 {
     if (pgw_upstream_liveness(upstream, now_us) == PGW_UNRESPONSIVE) {
         upstream->probe_at_us = now_us + PROBE_US;
@@ -514,7 +519,7 @@
     }
     if (version > entry->version) {
         /* New weights drop everything that was computed under the old. */
-        pgw_upstream_forget_parts(upstream);
+        pgw_upstream_clear_parts(upstream);
         entry->version = version;
     }
 }
@@ -531,7 +536,8 @@
 }
 
 void
-pgw_upstream_hold(struct pgw_upstream *upstream, uint64_t key, uint32_t tokens)
+pgw_upstream_set_cached_part(struct pgw_upstream *upstream, uint64_t key,
+                             uint32_t tokens)
 {
     if (tokens == 0) {
         g_hash_table_remove(upstream->held, &key);
@@ -543,15 +549,15 @@
 }
 
 void
-pgw_upstream_forget_parts(struct pgw_upstream *upstream)
+pgw_upstream_clear_parts(struct pgw_upstream *upstream)
 {
     g_hash_table_remove_all(upstream->held);
     pgw_recent_parts_clear(&upstream->expected);
 }
 
 bool
-pgw_upstream_holds(const struct pgw_upstream *upstream, uint64_t key,
-                   uint32_t tokens, bool expected, uint64_t now_us)
+pgw_upstream_has_part(const struct pgw_upstream *upstream, uint64_t key,
+                      uint32_t tokens, bool expected, uint64_t now_us)
 {
     uint32_t held =
         GPOINTER_TO_UINT(g_hash_table_lookup(upstream->held, &key));
@@ -560,20 +566,20 @@
     if (held > 0 && held + KV_BLOCK_TOKENS > tokens) {
         return true;
     }
-    return expected &&
-           pgw_recent_parts_has(&upstream->expected, key,
-                                upstream->guarded ? now_us - EXPECTED_US
-                                                  : now_us - GUESS_US);
+    return expected && pgw_recent_parts_has(&upstream->expected, key,
+                                            upstream->sidecar_is_reporting
+                                                ? now_us - EXPECTED_US
+                                                : now_us - GUESS_US);
 }
 
 void
-pgw_upstream_take_load(struct pgw_upstream *upstream,
-                       const struct pgw_upstream_load *load, uint64_t now_us)
+pgw_upstream_update_load(struct pgw_upstream *upstream,
+                         const struct pgw_upstream_load *load, uint64_t now_us)
 {
     upstream->load.running = load->running;
     upstream->load.waiting = load->waiting;
-    upstream->load_at_us = now_us;
-    upstream->load_own = upstream->inflight;
+    upstream->load_reported_at_us = now_us;
+    upstream->own_inflight_at_report = upstream->inflight;
     if (load->slots > 0) {
         upstream->slots = load->slots;
     }
@@ -584,10 +590,10 @@
     upstream->load.kv_total = load->kv_total;
     upstream->load.long_prefills = load->long_prefills;
     upstream->load.unread = load->unread;
-    upstream->memory_at_us = now_us;
-    upstream->load_own_tokens = upstream->inflight_tokens;
-    upstream->load_own_long = upstream->long_prefills;
-    upstream->load_own_unread = upstream->prefill_tokens;
+    upstream->kv_reported_at_us = now_us;
+    upstream->own_tokens_at_report = upstream->inflight_tokens;
+    upstream->own_long_prefills_at_report = upstream->long_prefills;
+    upstream->own_prefill_tokens_at_report = upstream->prefill_tokens;
 }
 
 /* What others had there when the report was made, fading with its age. */
@@ -608,15 +614,16 @@
 {
     return upstream->inflight +
            (uint32_t)others(upstream->load.running + upstream->load.waiting,
-                            upstream->load_own, upstream->load_at_us, now_us);
+                            upstream->own_inflight_at_report,
+                            upstream->load_reported_at_us, now_us);
 }
 
 uint64_t
 pgw_upstream_kv_estimate(const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    return upstream->inflight_tokens + others(upstream->load.kv_used,
-                                              upstream->load_own_tokens,
-                                              upstream->memory_at_us, now_us);
+    return upstream->inflight_tokens +
+           others(upstream->load.kv_used, upstream->own_tokens_at_report,
+                  upstream->kv_reported_at_us, now_us);
 }
 
 /* What a report said of others, fading with its age: they are read by then. */
@@ -624,9 +631,9 @@
 fading(uint64_t reported, uint64_t own, const struct pgw_upstream *upstream,
        uint64_t now_us)
 {
-    uint64_t age = now_us - upstream->memory_at_us;
+    uint64_t age = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->memory_at_us == 0 || age >= LONG_FADE_US ||
+    if (upstream->kv_reported_at_us == 0 || age >= LONG_FADE_US ||
         reported <= own) {
         return 0;
     }
@@ -635,14 +642,14 @@
 }
 
 double
-pgw_upstream_unread(const struct pgw_upstream *upstream, double read_rate,
-                    uint64_t now_us)
+pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
+                                   double read_rate, uint64_t now_us)
 {
     uint64_t reported = upstream->load.unread;
-    uint64_t own = upstream->load_own_unread;
-    uint64_t age = now_us - upstream->memory_at_us;
+    uint64_t own = upstream->own_prefill_tokens_at_report;
+    uint64_t age = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->memory_at_us == 0 || age >= UNREAD_MAX_US ||
+    if (upstream->kv_reported_at_us == 0 || age >= UNREAD_MAX_US ||
         reported <= own) {
         return 0;
     }
@@ -650,11 +657,11 @@
 }
 
 double
-pgw_upstream_long_prefills(const struct pgw_upstream *upstream,
-                           uint64_t now_us)
+pgw_upstream_others_long_prefills(const struct pgw_upstream *upstream,
+                                  uint64_t now_us)
 {
-    return fading(upstream->load.long_prefills, upstream->load_own_long,
-                  upstream, now_us);
+    return fading(upstream->load.long_prefills,
+                  upstream->own_long_prefills_at_report, upstream, now_us);
 }
 
 static void
@@ -674,8 +681,8 @@
 }
 
 void
-pgw_upstream_note(struct pgw_upstream *upstream,
-                  enum pgw_attempt_result result, uint64_t now_us)
+pgw_upstream_record_attempt(struct pgw_upstream *upstream,
+                            enum pgw_attempt_result result, uint64_t now_us)
 {
     uint64_t pause = AVOID_BASE_US;
 
@@ -685,7 +692,7 @@
     }
     upstream->refusals = 0;
     upstream->failure_rate *= 1.0 - RATE_WEIGHT;
-    if (result == PGW_RESULT_GOOD) {
+    if (result == PGW_RESULT_COMPLETED) {
         upstream->failures = 0;
         return;
     }
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -18,7 +18,7 @@
 #define PGW_UPSTREAM_MODELS_MAX 4
 /* A prompt of which more tokens than this must be read is long: it holds up
  * the others of its engine for more than an answer's objective leaves. */
-#define PGW_LONG_PREFILL 1500
+#define PGW_LONG_PREFILL_TOKENS 1500
 
 /**
  * struct pgw_model_version - weights that an engine runs
@@ -41,7 +41,7 @@
  * @started_ms: when its process started, by its own clock, in Unix
  *   milliseconds; tells apart starts under one id. 0: not said
  * @leaving: it finishes what it has and goes
- * @cold_ms: how much longer it stays slow after its start
+ * @warmup_ms: how much longer it stays slow after its start
  * @models: weights, for engines
  * @model_count: number of @models
  */
@@ -54,7 +54,7 @@
     uint64_t revision;
     uint64_t started_ms;
     bool leaving;
-    uint32_t cold_ms;
+    uint32_t warmup_ms;
     struct pgw_model_version models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
 };
@@ -87,20 +87,20 @@
  * @references: held by the table and by each request on its way
  * @revision: of its line in the list
  * @started_ms: start of the process that all below is known of, 0: not said
- * @earlier_ms: starts before it, of which late words may come
- * @earlier_count: number of @earlier_ms
+ * @earlier_starts_ms: starts before it, of which late words may come
+ * @earlier_start_count: number of @earlier_starts_ms
  * @displaced: another incarnation answered at its address
- * @ended_at_us: when another process was first known to have taken the place
- *   of one that ran here; what was sent before has nobody to answer it, 0:
+ * @replaced_at_us: when another process was first known to have taken the
+ * place of one that ran here; what was sent before has nobody to answer it, 0:
  * never
  * @removed: no longer in the list
  * @delisted_at_us: when it was dropped from the list
  * @delisted_until_us: dropped from the list while the platform's store was
  * away; counts as there until then, 0: is in the list
  * @loading: its sidecar says that it changes its weights, or is not alive
- * @loads_since_us: since when it is away for a load, 0: it is not
- * @loads_next: it is among the next ones: what runs long there delays it
- * @guarded: its sidecar's word is fresh, so @models is
+ * @loading_since_us: since when it is away for a load, 0: it is not
+ * @is_next_to_load: it is among the next ones: what runs long there delays it
+ * @sidecar_is_reporting: its sidecar's word is fresh, so @models is
  * @last_seen_us: when a byte last came from it or its sidecar, 0: no sidecar
  *   reports on it
  * @probe_at_us: while it is silent, no request is sent there before
@@ -110,19 +110,19 @@
  * @prefill_tokens: prompt tokens of those without a first event
  * @long_prefills: how many of these are long
  * @load: last report
- * @load_at_us: when it came, 0: never
- * @memory_at_us: when it last said what memory is in use, 0: never
- * @load_own: @inflight at that time
- * @load_own_tokens: @inflight_tokens at that time
- * @load_own_long: @long_prefills at that time
- * @load_own_unread: @prefill_tokens at that time
+ * @load_reported_at_us: when it came, 0: never
+ * @kv_reported_at_us: when it last said what memory is in use, 0: never
+ * @own_inflight_at_report: @inflight at that time
+ * @own_tokens_at_report: @inflight_tokens at that time
+ * @own_long_prefills_at_report: @long_prefills at that time
+ * @own_prefill_tokens_at_report: @prefill_tokens at that time
  * @failures: in a row
  * @failure_rate: moving share of failed attempts, 0..1
  * @avoid_until_us: not to be chosen before, while others can be
  * @refusals: in a row, of requests that it did not run
  * @full_until_us: not to be chosen before, whatever the others do
  * @held: prompt parts that its engine holds, by its sidecar's word: key to
- *   tokens; only while @guarded
+ *   tokens; only while @sidecar_is_reporting
  * @expected: prompt parts of requests that this entry sent there lately
  */
 struct pgw_upstream {
@@ -138,22 +138,22 @@
     uint32_t slots;
     uint64_t revision;
     uint64_t started_ms;
-    uint64_t earlier_ms[PGW_UPSTREAM_STARTS_MAX];
-    size_t earlier_count;
+    uint64_t earlier_starts_ms[PGW_UPSTREAM_STARTS_MAX];
+    size_t earlier_start_count;
     bool leaving;
     bool displaced;
-    uint64_t ended_at_us;
+    uint64_t replaced_at_us;
     bool removed;
     uint64_t delisted_at_us;
     uint64_t delisted_until_us;
-    uint64_t cold_until_us;
+    uint64_t warmup_until_us;
     struct pgw_model_version models[PGW_UPSTREAM_MODELS_MAX];
     size_t model_count;
     bool loading;
-    uint64_t loads_since_us;
-    bool loads_next;
+    uint64_t loading_since_us;
+    bool is_next_to_load;
     uint64_t loading_until_us;
-    bool guarded;
+    bool sidecar_is_reporting;
     uint64_t last_seen_us;
     uint64_t probe_at_us;
     bool suspect_logged;
@@ -162,12 +162,12 @@
     uint64_t prefill_tokens;
     uint32_t long_prefills;
     struct pgw_upstream_load load;
-    uint64_t load_at_us;
-    uint64_t memory_at_us;
-    uint32_t load_own;
-    uint64_t load_own_tokens;
-    uint32_t load_own_long;
-    uint64_t load_own_unread;
+    uint64_t load_reported_at_us;
+    uint64_t kv_reported_at_us;
+    uint32_t own_inflight_at_report;
+    uint64_t own_tokens_at_report;
+    uint32_t own_long_prefills_at_report;
+    uint64_t own_prefill_tokens_at_report;
     uint32_t failures;
     double failure_rate;
     uint64_t avoid_until_us;
@@ -179,7 +179,7 @@
 
 /**
  * enum pgw_attempt_result - how an attempt at an upstream went, for its health
- * @PGW_RESULT_GOOD: a whole answer
+ * @PGW_RESULT_COMPLETED: a whole answer
  * @PGW_RESULT_REFUSED: it said that it did not run the request
  * @PGW_RESULT_ERROR: it answered with a failure of its own
  * @PGW_RESULT_BROKEN: the connection broke or what came is no answer
@@ -187,7 +187,7 @@
  * @PGW_RESULT_TIMEOUT: nothing came for so long that it was given up
  */
 enum pgw_attempt_result {
-    PGW_RESULT_GOOD,
+    PGW_RESULT_COMPLETED,
     PGW_RESULT_REFUSED,
     PGW_RESULT_ERROR,
     PGW_RESULT_BROKEN,
@@ -198,15 +198,15 @@
 /**
  * struct pgw_upstream_pool - the upstreams of one service
  * @all: of &struct pgw_upstream
- * @near: those of the entry's own availability zone
+ * @local: those of the entry's own availability zone
  * @engines: they are engines, whose sidecars report on them
- * @divided: reports of those in other zones are not sent unasked
+ * @remote_on_request: reports of those in other zones are not sent unasked
  */
 struct pgw_upstream_pool {
     GPtrArray *all;
-    GPtrArray *near;
+    GPtrArray *local;
     bool engines;
-    bool divided;
+    bool remote_on_request;
 };
 
 struct pgw_upstream_table;
@@ -243,8 +243,8 @@
                        const struct pgw_upstream_facts *facts);
 
 /**
- * pgw_upstream_table_started() - the word of the process beside an upstream on
- * when that one started
+ * pgw_upstream_table_set_start() - the word of the process beside an upstream
+ * on when that one started
  * @table: the table
  * @upstream: one of its upstreams
  * @started_ms: as in &struct pgw_upstream_facts; 0: not said
@@ -252,9 +252,9 @@
  * That process asks its upstream itself, one question after the other, so its
  * word holds whatever the list or a clock that was set back says.
  */
-void pgw_upstream_table_started(struct pgw_upstream_table *table,
-                                struct pgw_upstream *upstream,
-                                uint64_t started_ms);
+void pgw_upstream_table_set_start(struct pgw_upstream_table *table,
+                                  struct pgw_upstream *upstream,
+                                  uint64_t started_ms);
 
 /** pgw_upstream_table_remove() - it is no longer in the list */
 void pgw_upstream_table_remove(struct pgw_upstream_table *table,
@@ -270,15 +270,16 @@
 pgw_upstream_table_pool(const struct pgw_upstream_table *table,
                         const char *service);
 
-/** pgw_upstream_table_set_divided() - whether engines of other zones report
- * only when they are asked */
-void pgw_upstream_table_set_divided(struct pgw_upstream_table *table,
-                                    bool divided);
+/** pgw_upstream_table_set_remote_on_request() - whether engines of other zones
+ * report only when they are asked */
+void pgw_upstream_table_set_remote_on_request(struct pgw_upstream_table *table,
+                                              bool remote_on_request);
 
-/** pgw_upstream_table_at() - the newest upstream of an address; NULL: none */
+/** pgw_upstream_table_find_address() - the newest upstream of an address;
+ * NULL: none */
 struct pgw_upstream *
-pgw_upstream_table_at(const struct pgw_upstream_table *table,
-                      const char *address);
+pgw_upstream_table_find_address(const struct pgw_upstream_table *table,
+                                const char *address);
 
 /** pgw_upstream_table_all() - head of the list of all */
 struct pgw_list *pgw_upstream_table_all(struct pgw_upstream_table *table);
@@ -312,24 +313,26 @@
     PGW_UNRESPONSIVE,
 };
 
-/** pgw_upstream_note_seen() - a report of its sidecar came */
-void pgw_upstream_note_seen(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_mark_seen() - a report of its sidecar came */
+void pgw_upstream_mark_seen(struct pgw_upstream *upstream, uint64_t now_us);
 
-/** pgw_upstream_note_answer() - some byte of an answer came from it */
-void pgw_upstream_note_answer(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_mark_answering() - some byte of an answer came from it */
+void pgw_upstream_mark_answering(struct pgw_upstream *upstream,
+                                 uint64_t now_us);
 
-/** pgw_upstream_unseen_us() - for how long nothing came from its machine, in
- * microseconds; 0: no sidecar reports on it */
-uint64_t pgw_upstream_unseen_us(const struct pgw_upstream *upstream,
-                                uint64_t now_us);
+/** pgw_upstream_since_seen_us() - for how long nothing came from its machine,
+ * in microseconds; 0: no sidecar reports on it */
+uint64_t pgw_upstream_since_seen_us(const struct pgw_upstream *upstream,
+                                    uint64_t now_us);
 
 /** pgw_upstream_liveness() - whether its machine responds */
 enum pgw_liveness pgw_upstream_liveness(const struct pgw_upstream *upstream,
                                         uint64_t now_us);
 
-/** pgw_upstream_probe() - a request is sent there: while it is silent, the
- * next one has to wait */
-void pgw_upstream_probe(struct pgw_upstream *upstream, uint64_t now_us);
+/** pgw_upstream_schedule_probe() - a request is sent there: while it is
+ * silent, the next one has to wait */
+void pgw_upstream_schedule_probe(struct pgw_upstream *upstream,
+                                 uint64_t now_us);
 
 /** pgw_upstream_set_version() - newest word on the weights of a model */
 void pgw_upstream_set_version(struct pgw_upstream *upstream, const char *model,
@@ -339,28 +342,29 @@
 uint64_t pgw_upstream_version(const struct pgw_upstream *upstream,
                               const char *model);
 
-/** pgw_upstream_hold() - its sidecar's word on a part; 0 tokens: gone */
-void pgw_upstream_hold(struct pgw_upstream *upstream, uint64_t key,
-                       uint32_t tokens);
+/** pgw_upstream_set_cached_part() - its sidecar's word on a part; 0 tokens:
+ * gone */
+void pgw_upstream_set_cached_part(struct pgw_upstream *upstream, uint64_t key,
+                                  uint32_t tokens);
 
-/** pgw_upstream_forget_parts() - nothing is known of what it holds */
-void pgw_upstream_forget_parts(struct pgw_upstream *upstream);
+/** pgw_upstream_clear_parts() - nothing is known of what it holds */
+void pgw_upstream_clear_parts(struct pgw_upstream *upstream);
 
 /**
- * pgw_upstream_holds() - whether a part is in its engine's memory
+ * pgw_upstream_has_part() - whether a part is in its engine's memory
  * @upstream: the upstream
  * @key: pgw_part_key()
  * @tokens: size of the part
  * @expected: also count what is being read for a request on its way
  * @now_us: monotonic time
  */
-bool pgw_upstream_holds(const struct pgw_upstream *upstream, uint64_t key,
-                        uint32_t tokens, bool expected, uint64_t now_us);
+bool pgw_upstream_has_part(const struct pgw_upstream *upstream, uint64_t key,
+                           uint32_t tokens, bool expected, uint64_t now_us);
 
-/** pgw_upstream_take_load() - a report of its load, received at @now_us */
-void pgw_upstream_take_load(struct pgw_upstream *upstream,
-                            const struct pgw_upstream_load *load,
-                            uint64_t now_us);
+/** pgw_upstream_update_load() - a report of its load, received at @now_us */
+void pgw_upstream_update_load(struct pgw_upstream *upstream,
+                              const struct pgw_upstream_load *load,
+                              uint64_t now_us);
 
 /** pgw_upstream_load_estimate() - requests there now, of all entries */
 uint32_t pgw_upstream_load_estimate(const struct pgw_upstream *upstream,
@@ -370,22 +374,24 @@
 uint64_t pgw_upstream_kv_estimate(const struct pgw_upstream *upstream,
                                   uint64_t now_us);
 
-/** pgw_upstream_long_prefills() - long prompts that it reads for others */
-double pgw_upstream_long_prefills(const struct pgw_upstream *upstream,
-                                  uint64_t now_us);
+/** pgw_upstream_others_long_prefills() - long prompts that it reads for others
+ */
+double pgw_upstream_others_long_prefills(const struct pgw_upstream *upstream,
+                                         uint64_t now_us);
 
 /**
- * pgw_upstream_unread() - prompt tokens that it has to read for others, as far
- * as they were announced
+ * pgw_upstream_others_pending_tokens() - prompt tokens that it has to read for
+ * others, as far as they were announced
  * @upstream: the engine
  * @read_rate: tokens that an engine reads in a millisecond
  * @now_us: monotonic time
  */
-double pgw_upstream_unread(const struct pgw_upstream *upstream,
-                           double read_rate, uint64_t now_us);
+double pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
+                                          double read_rate, uint64_t now_us);
 
-/** pgw_upstream_note()  - account the end of an attempt */
-void pgw_upstream_note(struct pgw_upstream *upstream,
-                       enum pgw_attempt_result result, uint64_t now_us);
+/** pgw_upstream_record_attempt()  - account the end of an attempt */
+void pgw_upstream_record_attempt(struct pgw_upstream *upstream,
+                                 enum pgw_attempt_result result,
+                                 uint64_t now_us);
 
 #endif
