--- a/src/gateway/weights_order.c
+++ b/src/gateway/weights_order.c
@@ -16,8 +16,8 @@
 }
 
 void
-pgw_weights_order_want(struct pgw_weights_order *order, uint64_t version,
-                       uint64_t start_in_us, uint64_t now_us)
+pgw_weights_order_set_target(struct pgw_weights_order *order, uint64_t version,
+                             uint64_t start_in_us, uint64_t now_us)
 {
     if (version < order->wanted) {
         return;
@@ -36,8 +36,9 @@
 }
 
 void
-pgw_weights_order_report(struct pgw_weights_order *order, uint64_t version,
-                         bool busy, uint32_t queued, uint64_t now_us)
+pgw_weights_order_apply_report(struct pgw_weights_order *order,
+                               uint64_t version, bool busy, uint32_t queued,
+                               uint64_t now_us)
 {
     order->running = version;
     order->queued = queued;
@@ -55,7 +56,7 @@
 }
 
 void
-pgw_weights_order_restarted(struct pgw_weights_order *order)
+pgw_weights_order_handle_restart(struct pgw_weights_order *order)
 {
     order->sent = false;
     order->accepted = false;
@@ -63,8 +64,8 @@
 }
 
 void
-pgw_weights_order_token(struct pgw_weights_order *order, uint64_t token,
-                        uint64_t now_us)
+pgw_weights_order_set_token(struct pgw_weights_order *order, uint64_t token,
+                            uint64_t now_us)
 {
     order->asked_token = false;
     order->token = MAX(order->token, token);
@@ -74,7 +75,7 @@
 }
 
 void
-pgw_weights_order_sent(struct pgw_weights_order *order, uint64_t now_us)
+pgw_weights_order_mark_sent(struct pgw_weights_order *order, uint64_t now_us)
 {
     order->sent = true;
     order->accepted = false;
@@ -82,8 +83,8 @@
 }
 
 void
-pgw_weights_order_answer(struct pgw_weights_order *order,
-                         enum pgw_order_answer answer, uint64_t now_us)
+pgw_weights_order_handle_answer(struct pgw_weights_order *order,
+                                enum pgw_order_answer answer, uint64_t now_us)
 {
     switch (answer) {
     case PGW_ORDER_ACCEPTED:
@@ -96,7 +97,7 @@
         order->token = 0;
         break;
     case PGW_ORDER_BUSY:
-    case PGW_ORDER_OTHER:
+    case PGW_ORDER_WRONG_INSTANCE:
     case PGW_ORDER_REFUSED:
         break;
     }
@@ -108,14 +109,14 @@
 rest_until(struct pgw_weights_order *order, uint64_t us)
 {
     order->next_us = us;
-    return PGW_WEIGHTS_REST;
+    return PGW_WEIGHTS_WAIT;
 }
 
 static enum pgw_weights_order_step
 open_again(struct pgw_weights_order *order)
 {
     order->announced = false;
-    return PGW_WEIGHTS_OPEN;
+    return PGW_WEIGHTS_ANNOUNCE_AVAILABLE;
 }
 
 enum pgw_weights_order_step
@@ -139,12 +140,12 @@
             return rest_until(order, 0);
         }
         order->asked_token = true;
-        return PGW_WEIGHTS_GET_TOKEN;
+        return PGW_WEIGHTS_REQUEST_TOKEN;
     }
     if (!order->announced) {
         order->announced = true;
         order->announced_us = now_us;
-        return PGW_WEIGHTS_ANNOUNCE;
+        return PGW_WEIGHTS_ANNOUNCE_LOADING;
     }
     if (now_us < order->announced_us + order->options.announce_us) {
         return rest_until(order,
@@ -166,5 +167,5 @@
         return rest_until(order,
                           order->announced_us + order->options.drain_us);
     }
-    return PGW_WEIGHTS_ORDER;
+    return PGW_WEIGHTS_SEND_ORDER;
 }
--- a/src/gateway/weights_order.h
+++ b/src/gateway/weights_order.h
@@ -44,18 +44,19 @@
 
 /**
  * enum pgw_weights_order_step - what to do now
- * @PGW_WEIGHTS_REST: nothing, until @next_us
- * @PGW_WEIGHTS_GET_TOKEN: ask for a fencing token
- * @PGW_WEIGHTS_ANNOUNCE: tell entries that the engine is about to load
- * @PGW_WEIGHTS_ORDER: give the order
- * @PGW_WEIGHTS_OPEN: tell entries that the engine takes requests again
+ * @PGW_WEIGHTS_WAIT: nothing, until @next_us
+ * @PGW_WEIGHTS_REQUEST_TOKEN: ask for a fencing token
+ * @PGW_WEIGHTS_ANNOUNCE_LOADING: tell entries that the engine is about to load
+ * @PGW_WEIGHTS_SEND_ORDER: give the order
+ * @PGW_WEIGHTS_ANNOUNCE_AVAILABLE: tell entries that the engine takes requests
+ * again
  */
 enum pgw_weights_order_step {
-    PGW_WEIGHTS_REST,
-    PGW_WEIGHTS_GET_TOKEN,
-    PGW_WEIGHTS_ANNOUNCE,
-    PGW_WEIGHTS_ORDER,
-    PGW_WEIGHTS_OPEN,
+    PGW_WEIGHTS_WAIT,
+    PGW_WEIGHTS_REQUEST_TOKEN,
+    PGW_WEIGHTS_ANNOUNCE_LOADING,
+    PGW_WEIGHTS_SEND_ORDER,
+    PGW_WEIGHTS_ANNOUNCE_AVAILABLE,
 };
 
 /**
@@ -94,44 +95,46 @@
                             const struct pgw_weights_order_options *options);
 
 /**
- * pgw_weights_order_want() - a version was named, or its turn has come
+ * pgw_weights_order_set_target() - a version was named, or its turn has come
  * @order: the state
  * @version: older ones are ignored
  * @start_in_us: when to begin at the latest; the soonest that was said holds
  * @now_us: monotonic time
  */
-void pgw_weights_order_want(struct pgw_weights_order *order, uint64_t version,
-                            uint64_t start_in_us, uint64_t now_us);
+void pgw_weights_order_set_target(struct pgw_weights_order *order,
+                                  uint64_t version, uint64_t start_in_us,
+                                  uint64_t now_us);
 
 /**
- * pgw_weights_order_report() - the engine's word
+ * pgw_weights_order_apply_report() - the engine's word
  * @order: the state
  * @version: weights that it runs
  * @busy: it is busy with an order
  * @queued: requests that wait for a place there
  * @now_us: monotonic time
  */
-void pgw_weights_order_report(struct pgw_weights_order *order,
-                              uint64_t version, bool busy, uint32_t queued,
-                              uint64_t now_us);
+void pgw_weights_order_apply_report(struct pgw_weights_order *order,
+                                    uint64_t version, bool busy,
+                                    uint32_t queued, uint64_t now_us);
 
-/** pgw_weights_order_restarted() - the engine has started anew: an order that
- * was on its way went to the process before */
-void pgw_weights_order_restarted(struct pgw_weights_order *order);
+/** pgw_weights_order_handle_restart() - the engine has started anew: an order
+ * that was on its way went to the process before */
+void pgw_weights_order_handle_restart(struct pgw_weights_order *order);
 
-/** pgw_weights_order_token() - a fencing token, 0: none to be had */
-void pgw_weights_order_token(struct pgw_weights_order *order, uint64_t token,
-                             uint64_t now_us);
+/** pgw_weights_order_set_token() - a fencing token, 0: none to be had */
+void pgw_weights_order_set_token(struct pgw_weights_order *order,
+                                 uint64_t token, uint64_t now_us);
 
-/** pgw_weights_order_sent() - the order is on its way */
-void pgw_weights_order_sent(struct pgw_weights_order *order, uint64_t now_us);
+/** pgw_weights_order_mark_sent() - the order is on its way */
+void pgw_weights_order_mark_sent(struct pgw_weights_order *order,
+                                 uint64_t now_us);
 
 /**
  * enum pgw_order_answer - the engine's answer to an order
  * @PGW_ORDER_ACCEPTED: it carries it out, or the order already holds
  * @PGW_ORDER_BUSY: another order is on its way, or the count differs
  * @PGW_ORDER_FENCED: the token is lower than one that it has seen
- * @PGW_ORDER_OTHER: another incarnation has the address
+ * @PGW_ORDER_WRONG_INSTANCE: another incarnation has the address
  * @PGW_ORDER_REFUSED: it takes no such order
  * @PGW_ORDER_LOST: no answer came
  */
@@ -139,14 +142,15 @@
     PGW_ORDER_ACCEPTED,
     PGW_ORDER_BUSY,
     PGW_ORDER_FENCED,
-    PGW_ORDER_OTHER,
+    PGW_ORDER_WRONG_INSTANCE,
     PGW_ORDER_REFUSED,
     PGW_ORDER_LOST,
 };
 
-/** pgw_weights_order_answer() - what became of the order */
-void pgw_weights_order_answer(struct pgw_weights_order *order,
-                              enum pgw_order_answer answer, uint64_t now_us);
+/** pgw_weights_order_handle_answer() - what became of the order */
+void pgw_weights_order_handle_answer(struct pgw_weights_order *order,
+                                     enum pgw_order_answer answer,
+                                     uint64_t now_us);
 
 /** pgw_weights_order_step() - what to do now; ask again until it rests */
 enum pgw_weights_order_step
--- a/tests/property/prop_lease.cc
+++ b/tests/property/prop_lease.cc
@@ -66,11 +66,11 @@
     pgw_lease *lease = &all->list[one.from];
 
     if (one.step == PGW_LEASE_READ) {
-        pgw_lease_take_read(lease, one.lost ? PGW_LEASE_FAILED : one.result,
+        pgw_lease_finish_read(lease, one.lost ? PGW_LEASE_FAILED : one.result,
                             one.mine, one.named, one.revision, all->now);
     }
     else {
-        pgw_lease_take_write(lease, one.lost ? PGW_LEASE_FAILED : one.result,
+        pgw_lease_finish_write(lease, one.lost ? PGW_LEASE_FAILED : one.result,
                              one.revision, all->now);
     }
 }
@@ -82,7 +82,7 @@
     enum pgw_lease_step next = pgw_lease_step(lease, all->now);
     call one = {};
 
-    if (next == PGW_LEASE_REST) {
+    if (next == PGW_LEASE_IDLE) {
         return;
     }
     one.from = index;
@@ -164,7 +164,7 @@
 
         for (unsigned i = 0; i < processes; i++) {
             pgw_lease_init(&all.list[i], &options);
-            pgw_lease_want(&all.list[i], true);
+            pgw_lease_set_wanted(&all.list[i], true);
         }
         for (uint32_t number : random_script(1200)) {
             tick(&all, number, false, options);
--- a/tests/unit/scene_engine.c
+++ b/tests/unit/scene_engine.c
@@ -40,8 +40,8 @@
 
 /* Plays the engine until @done says so. */
 void
-scene_engine_play(struct scene_engine *engine,
-                  bool (*done)(const struct scene_engine *engine))
+scene_engine_serve(struct scene_engine *engine,
+                   bool (*done)(const struct scene_engine *engine))
 {
     struct pollfd waits[16] = {{.fd = engine->listener, .events = POLLIN}};
     unsigned count = 1;
--- a/tests/unit/scene_engine.h
+++ b/tests/unit/scene_engine.h
@@ -24,10 +24,10 @@
     char *order;
 };
 
-/** scene_engine_play() - answer what comes until @done says so; what else is
+/** scene_engine_serve() - answer what comes until @done says so; what else is
  * waited for must wake it through a report, which are asked for all the time
  */
-void scene_engine_play(struct scene_engine *engine,
-                       bool (*done)(const struct scene_engine *engine));
+void scene_engine_serve(struct scene_engine *engine,
+                        bool (*done)(const struct scene_engine *engine));
 
 #endif
--- a/tests/unit/scene_gateway.c
+++ b/tests/unit/scene_gateway.c
@@ -132,7 +132,7 @@
            double burst)
 {
     const char *keys[] = {key, NULL};
-    const char *later_keys[] = {SCENE_KEY_LATER, NULL};
+    const char *later_keys[] = {SCENE_KEY_LOW_PRIORITY, NULL};
     struct pgw_workspace workspace = {
         .name = g_strdup("parish"),
         .quota_rate = rate,
@@ -183,7 +183,7 @@
                    port_of(scene->listeners[i]));
         pgw_upstream_table_put(pgw_gateway_upstreams(scene->gateway), &facts);
     }
-    pgw_gateway_pump(scene->gateway);
+    pgw_gateway_dispatch_queued(scene->gateway);
 }
 
 void
@@ -243,7 +243,7 @@
 
 static struct scene *
 new_scene(unsigned upstreams, uint64_t probe_wait_us, uint64_t start_pause_us,
-          uint64_t last_bytes_us)
+          uint64_t final_answer_grace_us)
 {
     struct scene *scene = g_new0(struct scene, 1);
     struct pgw_gateway_options options = {
@@ -253,9 +253,9 @@
         .budgets = PGW_RETRY_BUDGETS_OPTIONS_INIT,
         .choose = PGW_CHOOSE_OPTIONS_INIT,
         .poison = PGW_CRASH_QUARANTINE_OPTIONS_INIT,
-        .wait_share = 0.9,
-        .hedge_share = 1000,
-        .last_bytes_us = last_bytes_us,
+        .queue_time_share = 0.9,
+        .response_timeout_share = 1000,
+        .final_answer_grace_us = final_answer_grace_us,
         .probe_wait_us = probe_wait_us,
         .quota_wait_us = LONG_US,
         .quota_start_us = start_pause_us,
@@ -264,9 +264,9 @@
 
     g_assert_true(pgw_address_parse(&options.listen, LOOPBACK ":0", NULL));
     /* One place means one request at a time. */
-    options.choose.plain_depth = 1.0;
+    options.choose.plain_max_load = 1.0;
     /* Nothing is waited for, so crashes follow each other closely. */
-    options.poison.apart_us = 0;
+    options.poison.min_crash_gap_us = 0;
     scene->loop = pgw_loop_new(NULL);
     scene->gateway = pgw_gateway_new(scene->loop, &options, NULL);
     g_assert_nonnull(scene->gateway);
@@ -286,19 +286,19 @@
 }
 
 struct scene *
-scene_new_waiting(unsigned upstreams, uint64_t probe_wait_us)
+scene_new_with_probe_wait(unsigned upstreams, uint64_t probe_wait_us)
 {
     return new_scene(upstreams, probe_wait_us, START_PAUSE_US, LONG_US);
 }
 
 struct scene *
-scene_new_paused(unsigned upstreams)
+scene_new_with_start_pause(unsigned upstreams)
 {
     return new_scene(upstreams, 0, LONG_US, LONG_US);
 }
 
 struct scene *
-scene_new_impatient(unsigned upstreams)
+scene_new_without_answer_grace(unsigned upstreams)
 {
     return new_scene(upstreams, 0, START_PAUSE_US, 0);
 }
@@ -361,8 +361,8 @@
 }
 
 int
-scene_call_as(struct scene *scene, const char *key, const char *path,
-              const char *id)
+scene_call_with_key(struct scene *scene, const char *key, const char *path,
+                    const char *id)
 {
     return call_with(scene, key, path, id, "", "body");
 }
@@ -412,7 +412,7 @@
 }
 
 bool
-scene_is_quiet(struct scene *scene, unsigned upstream)
+scene_has_no_connection(struct scene *scene, unsigned upstream)
 {
     struct pollfd waits = {.fd = scene->listeners[upstream], .events = POLLIN};
 
--- a/tests/unit/scene_gateway.h
+++ b/tests/unit/scene_gateway.h
@@ -17,7 +17,7 @@
 #define SCENE_UPSTREAMS 3
 #define SCENE_KEY "key-1"
 /* Key of a workspace that comes after that of SCENE_KEY. */
-#define SCENE_KEY_LATER "key-2"
+#define SCENE_KEY_LOW_PRIORITY "key-2"
 /* Longest wait for what must come; reached only when a test fails. */
 #define SCENE_TIMEOUT_S 20
 
@@ -50,18 +50,19 @@
 struct scene *scene_new(unsigned upstreams);
 void scene_free(struct scene *scene);
 
-/** scene_new_waiting() - the same with a time that answers of sidecars are
- * waited for, in microseconds */
-struct scene *scene_new_waiting(unsigned upstreams, uint64_t probe_wait_us);
+/** scene_new_with_probe_wait() - the same with a time that answers of sidecars
+ * are waited for, in microseconds */
+struct scene *scene_new_with_probe_wait(unsigned upstreams,
+                                        uint64_t probe_wait_us);
 
-/** scene_new_paused() - the same, where callers wait for the configuration,
- * and requests for links to sidecars, as long as the test may take: a busy
- * machine ends that pause no sooner */
-struct scene *scene_new_paused(unsigned upstreams);
+/** scene_new_with_start_pause() - the same, where callers wait for the
+ * configuration, and requests for links to sidecars, as long as the test may
+ * take: a busy machine ends that pause no sooner */
+struct scene *scene_new_with_start_pause(unsigned upstreams);
 
-/** scene_new_impatient() - the same, where nothing is expected of a process
- * any more once another one has its place */
-struct scene *scene_new_impatient(unsigned upstreams);
+/** scene_new_without_answer_grace() - the same, where nothing is expected of a
+ * process any more once another one has its place */
+struct scene *scene_new_without_answer_grace(unsigned upstreams);
 
 /** scene_stop_listening() - nobody listens at an upstream's address any more
  */
@@ -100,9 +101,9 @@
  */
 int scene_call(struct scene *scene, const char *path, const char *id);
 
-/** scene_call_as() - the same with another key */
-int scene_call_as(struct scene *scene, const char *key, const char *path,
-                  const char *id);
+/** scene_call_with_key() - the same with another key */
+int scene_call_with_key(struct scene *scene, const char *key, const char *path,
+                        const char *id);
 
 /** scene_call_with_body() - the same with a body of one's own */
 int scene_call_with_body(struct scene *scene, const char *path, const char *id,
@@ -122,8 +123,8 @@
 /** scene_accept_any() - the next connection of whichever upstream gets one */
 int scene_accept_any(struct scene *scene, unsigned *upstream);
 
-/** scene_is_quiet() - no connection waits at an upstream */
-bool scene_is_quiet(struct scene *scene, unsigned upstream);
+/** scene_has_no_connection() - no connection waits at an upstream */
+bool scene_has_no_connection(struct scene *scene, unsigned upstream);
 
 /** scene_read_request() - read one request; free the text */
 char *scene_read_request(int fd);
--- a/tests/unit/test_announced_prompts.c
+++ b/tests/unit/test_announced_prompts.c
@@ -6,7 +6,8 @@
 expect_unread(const struct pgw_announced_prompts *announced, uint64_t tokens,
               uint32_t prompts)
 {
-    struct pgw_unread unread = pgw_announced_prompts_unread(announced);
+    struct pgw_pending_prefill unread =
+        pgw_announced_prompts_pending(announced);
 
     g_assert_cmpuint(unread.tokens, ==, tokens);
     g_assert_cmpuint(unread.prompts, ==, prompts);
@@ -17,18 +18,18 @@
        const struct pgw_engine_run *runs, size_t count, uint32_t waiting,
        uint64_t now_us)
 {
-    pgw_announced_prompts_report(announced,
-                                 &(struct pgw_engine_work){.runs = runs,
-                                                           .run_count = count,
-                                                           .waiting = waiting},
-                                 now_us);
+    pgw_announced_prompts_apply_report(
+        announced,
+        &(struct pgw_engine_work){
+            .runs = runs, .run_count = count, .waiting = waiting},
+        now_us);
 }
 
 static void
 report_unlisted(struct pgw_announced_prompts *announced, uint32_t reading,
                 uint32_t waiting, uint64_t now_us)
 {
-    pgw_announced_prompts_report(
+    pgw_announced_prompts_apply_report(
         announced,
         &(struct pgw_engine_work){.reading = reading, .waiting = waiting},
         now_us);
@@ -120,7 +121,7 @@
     for (uint64_t i = 0; i < 100000; i++) {
         pgw_announced_prompts_add(&announced, i, 2000, 0);
     }
-    g_assert_cmpuint(pgw_announced_prompts_unread(&announced).prompts, <=,
+    g_assert_cmpuint(pgw_announced_prompts_pending(&announced).prompts, <=,
                      1024);
     pgw_announced_prompts_clear(&announced);
     expect_unread(&announced, 0, 0);
--- a/tests/unit/test_cached_parts.c
+++ b/tests/unit/test_cached_parts.c
@@ -102,10 +102,10 @@
     pgw_cached_parts_expect(&parts, 1, 100, 0);
     pgw_cached_parts_expect(&parts, 2, 100, 0);
     expect_words(&parts, true, 1, "2:200");
-    all = pgw_cached_parts_all(&parts, false);
+    all = pgw_cached_parts_snapshot(&parts, false);
     g_assert_cmpuint(all->len, ==, 2);
     g_array_unref(all);
-    all = pgw_cached_parts_all(&parts, true);
+    all = pgw_cached_parts_snapshot(&parts, true);
     g_assert_cmpuint(all->len, ==, 1);
     g_array_unref(all);
     pgw_cached_parts_dispose(&parts);
@@ -126,7 +126,7 @@
         g_assert_cmpuint(pgw_cached_parts_tokens(&parts, 7), ==, 0);
         g_assert_cmpuint(pgw_cached_parts_tokens(&parts, 8), ==, 6000);
         g_assert_true(parts.reset);
-        g_assert_true(parts.far_reset);
+        g_assert_true(parts.remote_reset);
         pgw_cached_parts_dispose(&parts);
     }
 }
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -55,7 +55,7 @@
     pool->input.prompt = &pool->prompt;
     pool->input.model = MODEL;
     pool->input.kv_tokens = 140000;
-    pool->input.read_rate = 60;
+    pool->input.prefill_tokens_per_ms = 60;
 }
 
 static struct pgw_choice
@@ -117,7 +117,7 @@
     full->inflight = full->slots;
     g_assert_true(choose(&pool).upstream == loading);
     for (unsigned i = 0; i < 4; i++) {
-        pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW);
+        pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW);
     }
     pool.input.now_us = NOW + 200000;
     g_assert_null(choose(&pool).upstream);
@@ -126,12 +126,12 @@
     pool.input.now_us = NOW + 240000;
     g_assert_true(choose(&pool).upstream == loading);
     /* One that answers in between was merely full for a moment. */
-    pgw_upstream_note(loading, PGW_RESULT_GOOD, NOW + 240000);
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_COMPLETED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_true(choose(&pool).upstream == loading);
     /* Its sidecar's word that it has loaded ends the rest. */
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
-    pgw_upstream_note(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
+    pgw_upstream_record_attempt(loading, PGW_RESULT_REFUSED, NOW + 240000);
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_set_loading(loading, true, NOW + 240000);
     pgw_upstream_set_loading(loading, false, NOW + 240000);
@@ -177,7 +177,7 @@
     bad = add(&pool, "bad", "a", 1);
     good = add(&pool, "good", "b", 2);
     good->inflight = 11;
-    pgw_upstream_note(bad, PGW_RESULT_BROKEN, NOW);
+    pgw_upstream_record_attempt(bad, PGW_RESULT_BROKEN, NOW);
     g_assert_true(choose(&pool).upstream == good);
     good->leaving = true;
     g_assert_true(choose(&pool).upstream == bad);
@@ -202,13 +202,13 @@
     }
     ask_prompt(&pool, 13000);
     for (unsigned i = 0; i < 4; i++) {
-        pgw_upstream_hold(engines[i], shared_key(1), 13000);
+        pgw_upstream_set_cached_part(engines[i], shared_key(1), 13000);
         choice = choose(&pool);
         g_assert_true(choice.upstream == engines[i]);
         g_assert_cmpuint(choice.missing_tokens, ==, 0);
-        pgw_upstream_hold(engines[i], shared_key(1), 0);
+        pgw_upstream_set_cached_part(engines[i], shared_key(1), 0);
     }
-    pgw_upstream_hold(engines[3], shared_key(1), 13000);
+    pgw_upstream_set_cached_part(engines[3], shared_key(1), 13000);
     engines[3]->inflight = 12;
     choice = choose(&pool);
     g_assert_true(choice.upstream != engines[3]);
@@ -231,7 +231,7 @@
     old = add(&pool, "old", "a", 1);
     new = add(&pool, "new", "a", 2);
     pgw_upstream_set_version(new, MODEL, 2);
-    pgw_upstream_hold(old, shared_key(1), 13000);
+    pgw_upstream_set_cached_part(old, shared_key(1), 13000);
     old->inflight = 12;
     ask_prompt(&pool, 13000);
     pool.input.version = 2;
@@ -252,9 +252,9 @@
     old = add(&pool, "old", "a", 1);
     ask_prompt(&pool, 100);
     pool.input.version = 2;
-    pool.input.least_version = 1;
+    pool.input.min_version = 1;
     g_assert_true(choose(&pool).upstream == old);
-    pool.input.least_version = 2;
+    pool.input.min_version = 2;
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
 }
@@ -271,7 +271,7 @@
 
     pool_init(&pool);
     engine = add(&pool, "e", "a", 1);
-    pgw_upstream_take_load(engine, &load, NOW);
+    pgw_upstream_update_load(engine, &load, NOW);
     ask_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
     ask_prompt(&pool, 100);
@@ -292,8 +292,8 @@
 
     pool_init(&pool);
     engine = add(&pool, "e", "a", 1);
-    pgw_upstream_take_load(engine, &report, NOW);
-    pgw_upstream_take_load(engine, &head, NOW);
+    pgw_upstream_update_load(engine, &report, NOW);
+    pgw_upstream_update_load(engine, &head, NOW);
     ask_prompt(&pool, 17000);
     g_assert_null(choose(&pool).upstream);
     pgw_upstream_table_free(pool.table);
@@ -316,7 +316,7 @@
     ask_prompt(&pool, 60);
     idle->inflight = 3;
     g_assert_true(choose(&pool).upstream == busy);
-    pgw_upstream_take_load(busy, &reading, NOW);
+    pgw_upstream_update_load(busy, &reading, NOW);
     g_assert_true(choose(&pool).upstream == idle);
     pgw_upstream_table_free(pool.table);
 }
@@ -491,7 +491,7 @@
     for (size_t i = 0; i < homes.count; i++) {
         homes.items[i]->inflight = homes.items[i]->slots;
     }
-    pgw_upstream_hold(homes.items[2], shared_key(1), 13000);
+    pgw_upstream_set_cached_part(homes.items[2], shared_key(1), 13000);
     g_assert_true(choose(&pool).upstream == homes.items[2]);
     pool.input.newest_version = 2;
     upstream = choose(&pool).upstream;
@@ -514,7 +514,7 @@
     pool_init(&pool);
     busy = add(&pool, "busy", "a", 1);
     other = add(&pool, "other", "a", 2);
-    pgw_upstream_hold(busy, shared_key(1), 13000);
+    pgw_upstream_set_cached_part(busy, shared_key(1), 13000);
     busy->long_prefills = busy->slots / 2;
     other->inflight = other->slots - 1;
     ask_prompt(&pool, 100);
@@ -543,7 +543,7 @@
     pool_init(&pool);
     next = add(&pool, "next", "a", 1);
     other = add(&pool, "other", "a", 2);
-    next->loads_next = true;
+    next->is_next_to_load = true;
     other->inflight = 3;
     other->prefill_tokens = 3000;
     ask_prompt(&pool, 100);
@@ -552,7 +552,7 @@
     pool.input.run_ms = 1000;
     g_assert_true(choose(&pool).upstream == other);
     /* Its turn comes only after that. */
-    pool.input.turn_ms = 970;
+    pool.input.load_wait_ms = 970;
     g_assert_true(choose(&pool).upstream == next);
     pgw_upstream_table_free(pool.table);
 }
@@ -602,7 +602,7 @@
     pool.prompt.parts[1] = (struct pgw_prompt_part){.id = 13, .tokens = 4870};
     pool.prompt.part_count = 3;
     pool.prompt.tokens += 4870;
-    pgw_upstream_hold(holder, shared_key(1), 500);
+    pgw_upstream_set_cached_part(holder, shared_key(1), 500);
     holder->inflight = 11;
     holder->prefill_tokens = 50000;
     choice = choose(&pool);
@@ -631,16 +631,16 @@
     other = add(&pool, "other", "a", 2);
     ask_prompt(&pool, 100);
     other->inflight = 4;
-    pgw_upstream_note_seen(silent, NOW - 1000000);
+    pgw_upstream_mark_seen(silent, NOW - 1000000);
     g_assert_true(choose(&pool).upstream == silent);
-    pgw_upstream_note_seen(silent, NOW - 1500000);
+    pgw_upstream_mark_seen(silent, NOW - 1500000);
     g_assert_true(choose(&pool).upstream == other);
     other->inflight = other->slots;
     g_assert_true(choose(&pool).upstream == silent);
 
-    pgw_upstream_note_seen(silent, NOW - 3000000);
+    pgw_upstream_mark_seen(silent, NOW - 3000000);
     g_assert_true(choose(&pool).upstream == silent);
-    pgw_upstream_probe(silent, NOW);
+    pgw_upstream_schedule_probe(silent, NOW);
     g_assert_null(choose(&pool).upstream);
     g_assert_true(choose(&pool).busy);
     g_assert_cmpuint(choose(&pool).retry_at_us, ==, NOW + 1000000);
@@ -648,8 +648,8 @@
     g_assert_true(choose(&pool).upstream == silent);
 
     /* Its own answer counts like its sidecar's word. */
-    pgw_upstream_probe(silent, pool.input.now_us);
-    pgw_upstream_note_answer(silent, pool.input.now_us);
+    pgw_upstream_schedule_probe(silent, pool.input.now_us);
+    pgw_upstream_mark_answering(silent, pool.input.now_us);
     g_assert_true(choose(&pool).upstream == silent);
     pgw_upstream_table_free(pool.table);
 }
@@ -715,8 +715,8 @@
 
     pool_init(&pool);
     upstream = add(&pool, "one", "a", 1);
-    pgw_upstream_note_answer(upstream, NOW - 60000000);
-    pgw_upstream_probe(upstream, NOW);
+    pgw_upstream_mark_answering(upstream, NOW - 60000000);
+    pgw_upstream_schedule_probe(upstream, NOW);
     g_assert_cmpint(pgw_upstream_liveness(upstream, NOW), ==, PGW_RESPONSIVE);
     g_assert_true(choose(&pool).upstream == upstream);
     pgw_upstream_table_free(pool.table);
@@ -729,14 +729,16 @@
     struct pgw_policy policy = {0};
 
     pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, options.old_ms);
-    g_assert_true(changed.back_off);
-    policy.off[PGW_WEIGHTS_PRICE] = true;
-    policy.off[PGW_REFUSAL_REST] = true;
+    g_assert_cmpfloat(changed.old_weights_cost_ms, ==,
+                      options.old_weights_cost_ms);
+    g_assert_true(changed.refusal_backoff_enabled);
+    policy.off[PGW_MECHANISM_OLD_WEIGHTS_COST] = true;
+    policy.off[PGW_MECHANISM_REFUSAL_BACKOFF] = true;
     pgw_choose_options_apply(&changed, &policy);
-    g_assert_cmpfloat(changed.old_ms, ==, 0);
-    g_assert_cmpfloat(changed.delay_share, ==, options.delay_share);
-    g_assert_false(changed.back_off);
+    g_assert_cmpfloat(changed.old_weights_cost_ms, ==, 0);
+    g_assert_cmpfloat(changed.load_delay_weight, ==,
+                      options.load_delay_weight);
+    g_assert_false(changed.refusal_backoff_enabled);
 }
 
 int
--- a/tests/unit/test_delisted.c
+++ b/tests/unit/test_delisted.c
@@ -4,9 +4,9 @@
 #define SECOND UINT64_C(1000000)
 
 static const struct pgw_delisted_options options = {
-    .usual_us = SECOND,
-    .many_us = 3 * SECOND / 2,
-    .trouble_us = 11 * SECOND / 5,
+    .single_grace_us = SECOND,
+    .mass_grace_us = 3 * SECOND / 2,
+    .store_recovery_grace_us = 11 * SECOND / 5,
 };
 
 static struct pgw_upstream *
--- a/tests/unit/test_engine_sidecar.c
+++ b/tests/unit/test_engine_sidecar.c
@@ -47,7 +47,7 @@
 {
     (void)context;
     stage->tokens++;
-    pgw_engine_sidecar_take_token(stage->guard, 40 + stage->tokens);
+    pgw_engine_sidecar_set_token(stage->guard, 40 + stage->tokens);
 }
 
 static bool
@@ -177,10 +177,10 @@
 
     stage_open();
     engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
+    scene_engine_serve(&engine, is_told);
     name_task.run = name_weights;
     pgw_loop_post(stage->loop, &name_task);
-    scene_engine_play(&engine, is_ordered);
+    scene_engine_serve(&engine, is_ordered);
     g_assert_true(entry_knows_version(1, true));
     g_assert_nonnull(strstr(engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(engine.order, "\"fence\":41"));
@@ -188,7 +188,7 @@
     g_assert_nonnull(strstr(engine.order, "\"method\":\"block\""));
     engine.version = 2;
     engine.sequence = 4;
-    scene_engine_play(&engine, is_open_again);
+    scene_engine_serve(&engine, is_open_again);
     g_assert_cmpuint(engine.orders, ==, 1);
     g_assert_cmpuint(stage->tokens, ==, 1);
     g_free(engine.order);
@@ -214,16 +214,16 @@
 
     stage_open();
     engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
+    scene_engine_serve(&engine, is_told);
     name_task.run = name_weights;
     pgw_loop_post(stage->loop, &name_task);
-    scene_engine_play(&engine, is_ordered);
+    scene_engine_serve(&engine, is_ordered);
     engine.started_ms = 2000;
     engine.sequence = 0;
     /* Busy with something else: without the start the first order would count
      * as the one that it is busy with. */
     engine.busy = true;
-    scene_engine_play(&engine, is_ordered_again);
+    scene_engine_serve(&engine, is_ordered_again);
     g_assert_nonnull(strstr(engine.order, "\"expect\":0"));
     g_free(engine.order);
     stage_close();
@@ -282,10 +282,10 @@
 
     stage_open();
     engine.listener = stage->engine;
-    scene_engine_play(&engine, is_told);
+    scene_engine_serve(&engine, is_told);
     probe_task.run = announce_and_probe;
     pgw_loop_post(stage->loop, &probe_task);
-    scene_engine_play(&engine, is_answered);
+    scene_engine_serve(&engine, is_answered);
     g_assert_cmpuint(stage->answer.unread, ==, 6000);
     g_assert_cmpuint(stage->answer.part, ==, 1);
     stage_close();
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -45,7 +45,7 @@
 
     g_assert_cmpuint(whole, ==, 14);
     pgw_event_stream_consume(&stream, whole);
-    pgw_event_stream_restart(&stream);
+    pgw_event_stream_discard_partial(&stream);
     g_assert_cmpuint(stream.last_id, ==, 2);
     whole = pgw_event_stream_feed(&stream, "id: 3\n\n", 7);
     g_assert_cmpuint(whole, ==, 7);
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -82,7 +82,7 @@
     scene_set_routes(scene, 5, false);
     expect_status(scene_call(scene, "/once/", "b"), "HTTP/1.1 401 ");
     expect_status(scene_call(scene, "/none/", "c"), "HTTP/1.1 404 ");
-    g_assert_true(scene_is_quiet(scene, 0));
+    g_assert_true(scene_has_no_connection(scene, 0));
     scene_free(scene);
 }
 
@@ -99,7 +99,7 @@
 static void
 test_connects_before_the_configuration(void)
 {
-    struct scene *scene = scene_new_paused(1);
+    struct scene *scene = scene_new_with_start_pause(1);
     int caller = scene_call(scene, "/once/", "a");
     int upstream;
 
@@ -183,7 +183,7 @@
         scene_answer(two, "b", 200, "", "ok");
         expect_ok(caller);
     }
-    g_assert_true(scene_is_quiet(scene, first));
+    g_assert_true(scene_has_no_connection(scene, first));
     close(one);
     close(two);
     scene_free(scene);
@@ -225,7 +225,7 @@
     g_free(scene_read_request(one));
     scene_reset(one);
     expect_status(caller, "HTTP/1.1 502 ");
-    g_assert_true(scene_is_quiet(scene, 1 - first));
+    g_assert_true(scene_has_no_connection(scene, 1 - first));
     scene_free(scene);
 }
 
@@ -376,7 +376,7 @@
 {
     pgw_list_foreach (
         link, pgw_upstream_table_all(pgw_gateway_upstreams(scene->gateway))) {
-        pgw_upstream_note_seen(
+        pgw_upstream_mark_seen(
             pgw_container_of(link, struct pgw_upstream, in_table),
             pgw_now_us() - 1500000);
     }
@@ -434,7 +434,7 @@
     scene_chunk(other, "id: 2\ndata: z\n\n");
     scene_send(other, "0\r\n\r\n");
     g_free(scene_read_until(brook, "id: 2\ndata: z\n\n"));
-    g_assert_true(scene_is_quiet(scene, second));
+    g_assert_true(scene_has_no_connection(scene, second));
     close(brook);
     close(flow);
     close(one);
@@ -491,7 +491,7 @@
         g_assert_cmpint(recv(waits.fd, buffer, sizeof(buffer), 0), >, 0);
     }
     exchange->caller->owner = NULL;
-    pgw_exchange_caller_gone(exchange);
+    pgw_exchange_handle_caller_gone(exchange);
 }
 
 /* A request that is given up when all that was written of it has arrived, and
@@ -546,7 +546,7 @@
     answer = scene_read_all(caller);
     assert_lacks(answer, "0\r\n\r\n");
     g_free(answer);
-    g_assert_true(scene_is_quiet(scene, 1 - first));
+    g_assert_true(scene_has_no_connection(scene, 1 - first));
     close(caller);
     scene_free(scene);
 }
@@ -625,10 +625,10 @@
     char *request;
 
     g_free(scene_read_request(upstream));
-    later = scene_call_as(scene, first, first_path, "b");
+    later = scene_call_with_key(scene, first, first_path, "b");
     /* A refusal that comes back shows that the one before it was read. */
     expect_status(scene_call(scene, "/none/", "x"), "HTTP/1.1 404 ");
-    sooner = scene_call_as(scene, second, second_path, "c");
+    sooner = scene_call_with_key(scene, second, second_path, "c");
     expect_status(scene_call(scene, "/none/", "y"), "HTTP/1.1 404 ");
     scene_answer(upstream, "a", 200, "", "ok");
     expect_ok(running);
@@ -655,7 +655,8 @@
 static void
 test_urgent_workspace_goes_first(void)
 {
-    assert_second_goes_first(SCENE_KEY_LATER, "/first/", SCENE_KEY, "/once/");
+    assert_second_goes_first(SCENE_KEY_LOW_PRIORITY, "/first/", SCENE_KEY,
+                             "/once/");
 }
 
 /* The route's time passes while an upstream is silent: the caller hears that
@@ -708,7 +709,7 @@
 begin_close(struct scene *scene)
 {
     pgw_gateway_drain(scene->gateway);
-    pgw_gateway_close(scene->gateway);
+    pgw_gateway_close_idle(scene->gateway);
 }
 
 /*
@@ -894,7 +895,7 @@
 static void
 test_process_ended(void)
 {
-    struct scene *scene = scene_new_impatient(1);
+    struct scene *scene = scene_new_without_answer_grace(1);
     int once;
     int dead;
     int again;
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -66,7 +66,7 @@
         .seed_count = index > 0,
         .instance = "e",
         .zone = "a",
-        .ask_after_us = 450000,
+        .request_delay_us = 450000,
         .poison = fleet->poison[index],
         .on_document = on_document,
         .context = &hearers[index],
@@ -220,7 +220,7 @@
     struct pgw_crash_quarantine_options options =
         PGW_CRASH_QUARANTINE_OPTIONS_INIT;
 
-    options.apart_us = 0;
+    options.min_crash_gap_us = 0;
     fleet.loop = pgw_loop_new(NULL);
     fleet.limit.on_due = limit_due;
     fleet.look.on_due = look_due;
--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -117,7 +117,7 @@
 static struct scene *
 open_scene(uint64_t probe_wait_us)
 {
-    struct scene *scene = scene_new_waiting(1, probe_wait_us);
+    struct scene *scene = scene_new_with_probe_wait(1, probe_wait_us);
 
     sidecars = (struct sidecars){.announced = -1};
     scene_set_routes(scene, 5, true);
@@ -162,10 +162,11 @@
     struct pgw_upstream_load load = {.slots = 8, .kv_total = 140000};
 
     for (unsigned i = 0; i < sidecars.asked; i++) {
-        pgw_upstream_take_load(engine(scene, sidecars.homes[i]), &load,
-                               pgw_now_us());
+        pgw_upstream_update_load(engine(scene, sidecars.homes[i]), &load,
+                                 pgw_now_us());
     }
-    pgw_upstream_hold(engine(scene, sidecars.homes[1]), part_key(), 13000);
+    pgw_upstream_set_cached_part(engine(scene, sidecars.homes[1]), part_key(),
+                                 13000);
     for (unsigned i = 0; i < sidecars.asked; i++) {
         pgw_gateway_probe_answered(scene->gateway, sidecars.last,
                                    engine(scene, sidecars.homes[i]));
@@ -203,7 +204,7 @@
     int caller = ask(scene);
 
     g_assert_cmpuint(sidecars.asked, >, 1);
-    g_assert_true(scene_is_quiet(scene, 0));
+    g_assert_true(scene_has_no_connection(scene, 0));
     scene_run(scene, answer_all);
     g_assert_cmpint(serve(scene, caller), ==, sidecars.homes[1]);
     g_assert_cmpint(sidecars.announced, ==, sidecars.homes[1]);
@@ -233,7 +234,7 @@
         pgw_gateway_probe_answered(scene->gateway, sidecars.last,
                                    engine(scene, sidecars.homes[i]));
     }
-    g_assert_cmpuint(pgw_gateway_busy(scene->gateway), ==, 0);
+    g_assert_cmpuint(pgw_gateway_request_count(scene->gateway), ==, 0);
 }
 
 /* Guards against an answer that reaches a request which is gone. */
--- a/tests/unit/test_http_reader.c
+++ b/tests/unit/test_http_reader.c
@@ -171,10 +171,10 @@
     g_assert_cmpstr(seen->body->str, ==, "abcde");
     g_assert_false(head->keep_alive);
     g_assert_cmpuint(head->count, ==, 4);
-    g_assert_true(pgw_http_head_is_hop(head, 0));
-    g_assert_true(pgw_http_head_is_hop(head, 1));
-    g_assert_true(pgw_http_head_is_hop(head, 2));
-    g_assert_false(pgw_http_head_is_hop(head, 3));
+    g_assert_true(pgw_http_head_is_hop_by_hop(head, 0));
+    g_assert_true(pgw_http_head_is_hop_by_hop(head, 1));
+    g_assert_true(pgw_http_head_is_hop_by_hop(head, 2));
+    g_assert_false(pgw_http_head_is_hop_by_hop(head, 3));
     seen_free(seen);
 }
 
--- a/tests/unit/test_platform_codec.c
+++ b/tests/unit/test_platform_codec.c
@@ -205,7 +205,7 @@
     g_assert_cmpuint(out.load.running, ==, 12);
     g_assert_cmpuint(out.load.long_prefills, ==, 1);
     g_assert_cmpuint(out.run_count, ==, 3);
-    g_assert_cmpuint(out.reading, ==, 9);
+    g_assert_cmpuint(out.unlisted_runs, ==, 9);
     g_assert_cmpuint(out.runs[1].id, ==, pgw_announced_prompts_id("b"));
     g_assert_cmpuint(out.runs[1].tokens, ==, 9000);
     g_assert_cmpuint(out.runs[1].events, ==, 4);
--- a/tests/unit/test_platform_batch.c
+++ b/tests/unit/test_platform_watch_pause.c
@@ -1,4 +1,4 @@
-#include "batch.h"
+#include "watch_pause.h"
 #include <glib.h>
 
 #define LEAST_US 350000
--- a/tests/unit/test_platform_alone.c
+++ b/tests/unit/test_platform_weights_fallback.c
@@ -1,9 +1,9 @@
 #include "scene_gateway.h"
 
-#include "alone.h"
 #include "codec.h"
 #include "libparsleygw/link.h"
 #include "util/log.h"
+#include "weights_fallback.h"
 #include <arpa/inet.h>
 #include <poll.h>
 #include <string.h>
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -24,14 +24,14 @@
 static void
 test_each_has_a_name(void)
 {
-    for (unsigned i = 0; i < PGW_MECHANISMS; i++) {
+    for (unsigned i = 0; i < PGW_MECHANISM_COUNT; i++) {
         struct pgw_policy policy;
         GError *error = NULL;
         char *text =
             g_strdup_printf("{\"off\":[\"%s\"]}", pgw_mechanism_name(i));
 
         g_assert_true(load(&policy, text, &error));
-        for (unsigned j = 0; j < PGW_MECHANISMS; j++) {
+        for (unsigned j = 0; j < PGW_MECHANISM_COUNT; j++) {
             g_assert_cmpint(pgw_policy_is_on(&policy, j), ==, i != j);
         }
         g_free(text);
@@ -54,7 +54,7 @@
     GError *error = NULL;
 
     g_assert_true(load(&policy, "{}", &error));
-    g_assert_true(pgw_policy_is_on(&policy, PGW_STORE));
+    g_assert_true(pgw_policy_is_on(&policy, PGW_MECHANISM_STORE));
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         g_assert_false(load(&policy, bad[i], &error));
         g_assert_error(error, PGW_ERROR, PGW_ERROR_INVALID);
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -126,7 +126,7 @@
     char id[16];
 
     g_snprintf(id, sizeof(id), "e%d", seen.asked);
-    pgw_quota_answered(
+    pgw_quota_handle_answer(
         pgw_gateway_quota(scene->gateway),
         pgw_upstream_table_find(pgw_gateway_upstreams(scene->gateway), id),
         seen.last.request.workspace, seen.last.ask, &seen.answer);
@@ -198,7 +198,7 @@
 
     wait_for_asks(scene, 1);
     g_assert_cmpfloat(look().last.request.cost, ==, 1);
-    g_assert_cmpfloat(look().last.request.terms.rate, ==, 100);
+    g_assert_cmpfloat(look().last.request.limits.rate, ==, 100);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
@@ -212,7 +212,7 @@
     caller = scene_call(scene, "/once/", "c");
     expect(caller, "HTTP/1.1 429 ", "Retry-After: 5");
     g_assert_cmpuint(look().asks, ==, 2);
-    g_assert_true(scene_is_quiet(scene, 0));
+    g_assert_true(scene_has_no_connection(scene, 0));
     scene_free(scene);
 }
 
@@ -226,7 +226,7 @@
     scene_set_quota(scene, 6, 100, 0);
     caller = scene_call(scene, "/once/", "a");
     wait_for_asks(scene, 1);
-    g_assert_cmpfloat(look().last.request.terms.burst, ==, 50);
+    g_assert_cmpfloat(look().last.request.limits.burst, ==, 50);
     set_answer((struct pgw_quota_answer){.granted = 1, .level = 10});
     scene_run(scene, answer_ask);
     serve(scene, caller, "a");
@@ -249,7 +249,7 @@
         int caller = scene_call(scene, "/once/", "a");
 
         calls++;
-        while (scene_is_quiet(scene, 0)) {
+        while (scene_has_no_connection(scene, 0)) {
             scene_run(scene, do_nothing);
             if (look().asks > asks) {
                 asks = look().asks;
@@ -293,7 +293,7 @@
 static void
 test_waits_for_links(void)
 {
-    struct scene *scene = set_up(scene_new_paused(1));
+    struct scene *scene = set_up(scene_new_with_start_pause(1));
     int caller;
 
     set_all_reachable(false);
--- a/tests/unit/test_quota_bucket.c
+++ b/tests/unit/test_quota_bucket.c
@@ -17,7 +17,7 @@
 {
     return (struct pgw_quota_request){
         .workspace = 7,
-        .terms = {.rate = 1000, .burst = 2000, .version = 3},
+        .limits = {.rate = 1000, .burst = 2000, .version = 3},
         .cost = cost,
         .share = 1,
     };
@@ -29,7 +29,7 @@
     struct pgw_quota_request request = request_of(cost);
     struct pgw_quota_answer answer;
 
-    pgw_quota_buckets_take(&answer, buckets, &request, now_us);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, now_us);
     return answer;
 }
 
@@ -84,9 +84,9 @@
     options.bounds = (struct pgw_quota_bounds){8, 0.1, 500};
     buckets = pgw_quota_buckets_new(&options);
     request.restarted = true;
-    pgw_quota_buckets_take(&answer, buckets, &request, S);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, S);
     g_assert_cmpfloat(answer.level, ==, 1200);
-    pgw_quota_buckets_take(&answer, buckets, &request, S + S / 2);
+    pgw_quota_buckets_handle_request(&answer, buckets, &request, S + S / 2);
     g_assert_cmpfloat(answer.level, ==, 1700);
     pgw_quota_buckets_free(buckets);
 }
@@ -100,8 +100,8 @@
     struct pgw_quota_answer answer = ask(buckets, 0, S);
 
     g_assert_cmpfloat(answer.level, ==, 2000);
-    lowered.terms = (struct pgw_quota_terms){100, 200, 4};
-    pgw_quota_buckets_take(&answer, buckets, &lowered, S);
+    lowered.limits = (struct pgw_quota_limits){100, 200, 4};
+    pgw_quota_buckets_handle_request(&answer, buckets, &lowered, S);
     g_assert_cmpfloat(answer.level, ==, 200);
     answer = ask(buckets, 150, 2 * S);
     g_assert_cmpfloat(answer.level, ==, 50);
@@ -124,7 +124,7 @@
     g_assert_cmpuint(ask(buckets, 500, S).retry_ms, ==, 1000);
     g_assert_cmpuint(ask(buckets, 5000, S).retry_ms, ==, 2000);
     back.spent = -2000;
-    pgw_quota_buckets_take(&answer, buckets, &back, S);
+    pgw_quota_buckets_handle_request(&answer, buckets, &back, S);
     g_assert_cmpfloat(answer.level, ==, 2000);
     pgw_quota_buckets_free(buckets);
 }
@@ -141,14 +141,14 @@
     double units = 0;
     const unsigned seconds = 30;
 
-    request.terms = (struct pgw_quota_terms){47000, 47000, 3};
+    request.limits = (struct pgw_quota_limits){47000, 47000, 3};
     for (unsigned ms = 0; ms < seconds * 1000; ms += 10) {
         for (unsigned is_long = 0; is_long <= (ms % 330 == 0); is_long++) {
             struct pgw_quota_answer answer;
 
             request.cost = is_long ? 17020 : 388;
-            pgw_quota_buckets_take(&answer, buckets, &request,
-                                   S + ms * UINT64_C(1000));
+            pgw_quota_buckets_handle_request(&answer, buckets, &request,
+                                             S + ms * UINT64_C(1000));
             asked[is_long]++;
             granted[is_long] += answer.granted > 0;
             units += answer.granted;
--- a/tests/unit/test_quota_play.c
+++ b/tests/unit/test_quota_play.c
@@ -40,7 +40,7 @@
 
 /**
  * struct play - what happens
- * @terms: the quota
+ * @limits: the quota
  * @load: tokens a second that are asked for
  * @restart_us: the owner starts again then, 0: never
  * @restart_all: with all entries
@@ -55,7 +55,7 @@
  * @suspended_until_us: until then
  */
 struct play {
-    struct pgw_quota_terms terms;
+    struct pgw_quota_limits limits;
     double load;
     uint64_t restart_us;
     bool restart_all;
@@ -116,12 +116,12 @@
                   g_rand_int_range(play->random, 0, (int)play->lost_in) == 0);
     word->request = (struct pgw_quota_request){
         .workspace = 1,
-        .terms = play->terms,
+        .limits = play->limits,
         .cost = cost,
         .share = 1,
         .restarted = play->restarted,
     };
-    pgw_quota_share_report(&play->shares[entry], &word->request);
+    pgw_quota_share_take_unreported(&play->shares[entry], &word->request);
     g_queue_push_tail(play->words, word);
 }
 
@@ -131,7 +131,7 @@
     struct pgw_quota_share *share = &play->shares[entry];
 
     pgw_quota_share_spend(share, tokens);
-    if (pgw_quota_share_is_due(share, &play->terms, ENTRIES)) {
+    if (pgw_quota_share_report_is_due(share, &play->limits, ENTRIES)) {
         send_word(play, entry, 0, now_us);
     }
 }
@@ -139,9 +139,9 @@
 static void
 decide_alone(struct play *play, unsigned entry, double tokens, uint64_t now_us)
 {
-    if (pgw_quota_share_decide_alone(&play->shares[entry], &play->terms,
-                                     &bounds, ENTRIES, tokens,
-                                     now_us) == PGW_QUOTA_ADMIT) {
+    if (pgw_quota_share_decide_locally(&play->shares[entry], &play->limits,
+                                       &bounds, ENTRIES, tokens,
+                                       now_us) == PGW_QUOTA_ADMIT) {
         note_run(play, tokens, now_us);
         spend(play, entry, tokens, now_us);
         return;
@@ -166,13 +166,13 @@
         return true;
     }
     if (!word->is_answer) {
-        pgw_quota_buckets_take(&word->answer, play->owner, &word->request,
-                               now_us);
+        pgw_quota_buckets_handle_request(&word->answer, play->owner,
+                                         &word->request, now_us);
         word->is_answer = true;
         word->at_us = now_us + way(play);
         return false;
     }
-    pgw_quota_share_take(share, &word->answer, now_us);
+    pgw_quota_share_apply_answer(share, &word->answer, now_us);
     if (word->answer.granted > 0) {
         note_run(play, word->request.cost, now_us);
     }
@@ -218,8 +218,8 @@
         return;
     }
     play->asked += tokens;
-    switch (
-        pgw_quota_share_decide(share, &play->terms, ENTRIES, tokens, now_us)) {
+    switch (pgw_quota_share_decide(share, &play->limits, ENTRIES, tokens,
+                                   now_us)) {
     case PGW_QUOTA_ADMIT:
         note_run(play, tokens, now_us);
         spend(play, entry, tokens, now_us);
@@ -314,7 +314,7 @@
 static double
 allowed(const struct play *play)
 {
-    return (play->terms.rate * bounds.window_s + play->terms.burst) *
+    return (play->limits.rate * bounds.window_s + play->limits.burst) *
                (1 + bounds.overage) +
            bounds.slack;
 }
@@ -354,7 +354,7 @@
     const double rates[] = {604586, 47000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
+        struct play play = {.limits = {rates[i], rates[i], 1},
                             .load = rates[i] * 4.2};
 
         check_bound(&play);
@@ -371,7 +371,7 @@
     const double rates[] = {604586, 300000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
+        struct play play = {.limits = {rates[i], rates[i], 1},
                             .load = rates[i] * 0.55};
 
         check_bound(&play);
@@ -389,7 +389,7 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
         for (unsigned all = 0; all < 2; all++) {
-            struct play play = {.terms = {rates[i], rates[i], 1},
+            struct play play = {.limits = {rates[i], rates[i], 1},
                                 .load = rates[i] * 4.2,
                                 .restart_us = 6000 * MS,
                                 .restart_all = all == 1};
@@ -408,7 +408,7 @@
     const double rates[] = {604586, 47000};
 
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-        struct play play = {.terms = {rates[i], rates[i], 1},
+        struct play play = {.limits = {rates[i], rates[i], 1},
                             .load = rates[i] * 4.2,
                             .cut_from_us = 5000 * MS,
                             .cut_until_us = 17000 * MS,
@@ -437,7 +437,7 @@
         double rate =
             exp(g_rand_double_range(random, log(47000), log(604586)));
         struct play play = {
-            .terms = {rate, rate, 1},
+            .limits = {rate, rate, 1},
             .load = rate * g_rand_double_range(random, 0.5, 7),
             .restart_us = g_rand_boolean(random) ? draw_us(random, 2, 20) : 0,
             .restart_all = g_rand_boolean(random),
--- a/tests/unit/test_quota_share.c
+++ b/tests/unit/test_quota_share.c
@@ -4,7 +4,7 @@
 #define S UINT64_C(1000000)
 #define ENTRIES 10
 
-static const struct pgw_quota_terms terms = {1000, 4000, 1};
+static const struct pgw_quota_limits limits = {1000, 4000, 1};
 static const struct pgw_quota_bounds bounds = {8, 0.1, 2000};
 
 static void
@@ -13,13 +13,13 @@
     struct pgw_quota_answer answer = {
         .level = level, .wait_ms = level < 0 ? 300 : 0, .retry_ms = 400};
 
-    pgw_quota_share_take(share, &answer, now_us);
+    pgw_quota_share_apply_answer(share, &answer, now_us);
 }
 
 static enum pgw_quota_verdict
 decide(const struct pgw_quota_share *share, double cost, uint64_t now_us)
 {
-    return pgw_quota_share_decide(share, &terms, ENTRIES, cost, now_us);
+    return pgw_quota_share_decide(share, &limits, ENTRIES, cost, now_us);
 }
 
 /* An entry that knows nothing, or only what was long ago, must ask: what it
@@ -49,7 +49,7 @@
         admitted += 10;
     }
     g_assert_cmpfloat(admitted * ENTRIES, <=, 1000);
-    g_assert_true(pgw_quota_share_is_due(&share, &terms, ENTRIES));
+    g_assert_true(pgw_quota_share_report_is_due(&share, &limits, ENTRIES));
     take_level(&share, 1999, S);
     g_assert_cmpint(decide(&share, 10, S), ==, PGW_QUOTA_ASK);
 }
@@ -75,8 +75,8 @@
     double admitted = 0;
 
     for (uint64_t now = S; now < 9 * S; now += 1000) {
-        if (pgw_quota_share_decide_alone(&share, &terms, &bounds, ENTRIES, 20,
-                                         now) == PGW_QUOTA_ADMIT) {
+        if (pgw_quota_share_decide_locally(&share, &limits, &bounds, ENTRIES,
+                                           20, now) == PGW_QUOTA_ADMIT) {
             admitted += 20;
         }
     }
@@ -92,12 +92,12 @@
     struct pgw_quota_share share = {0};
 
     take_level(&share, 4000, S);
-    g_assert_cmpint(pgw_quota_share_decide_alone(&share, &terms, &bounds,
-                                                 ENTRIES, 3000, S + 40000),
+    g_assert_cmpint(pgw_quota_share_decide_locally(&share, &limits, &bounds,
+                                                   ENTRIES, 3000, S + 40000),
                     ==, PGW_QUOTA_ADMIT);
     pgw_quota_share_spend(&share, 3000);
-    g_assert_cmpint(pgw_quota_share_decide_alone(&share, &terms, &bounds,
-                                                 ENTRIES, 3000, S + 40000),
+    g_assert_cmpint(pgw_quota_share_decide_locally(&share, &limits, &bounds,
+                                                   ENTRIES, 3000, S + 40000),
                     ==, PGW_QUOTA_REFUSE);
 }
 
--- a/tests/unit/test_report_budget.c
+++ b/tests/unit/test_report_budget.c
@@ -15,7 +15,7 @@
 
     for (uint64_t now = STEP_US; now <= WARM_US + SECONDS * 1000000ULL;
          now += STEP_US) {
-        if (pgw_report_budget_has(&budget, far, now)) {
+        if (pgw_report_budget_allows_report(&budget, far, now)) {
             size_t bytes = (size_t)near * PGW_REPORT_LOAD_BYTES;
 
             pgw_report_budget_spend(&budget, bytes);
@@ -61,10 +61,10 @@
 {
     struct pgw_report_budget budget = {0};
 
-    g_assert_true(pgw_report_budget_has(&budget, 0, 1));
+    g_assert_true(pgw_report_budget_allows_report(&budget, 0, 1));
     pgw_report_budget_spend(&budget, 20000);
-    g_assert_false(pgw_report_budget_has(&budget, 0, 1));
-    g_assert_true(pgw_report_budget_has(&budget, 0, 1000000));
+    g_assert_false(pgw_report_budget_allows_report(&budget, 0, 1));
+    g_assert_true(pgw_report_budget_allows_report(&budget, 0, 1000000));
 }
 
 /* Guards against entries that decide alike on old reports, and against a way
--- a/tests/unit/test_rollout_play.c
+++ b/tests/unit/test_rollout_play.c
@@ -96,7 +96,7 @@
         .pool = pgw_upstream_table_pool(play->table, "s"),
         .prompt = &prompt,
         .model = MODEL,
-        .read_rate = 60,
+        .prefill_tokens_per_ms = 60,
         .run_ms = (double)(is_long ? LONG_US : SHORT_US) / 1000,
         .now_us = play->now_us,
         .random = play->now_us,
@@ -165,7 +165,7 @@
         struct pgw_upstream **upstream = play->window[i].context;
         size_t engine = (size_t)(upstream - play->engines);
 
-        (*upstream)->loads_next = play->window[i].next;
+        (*upstream)->is_next_to_load = play->window[i].next;
         if (play->window[i].go) {
             play->announced_us[engine] = play->now_us;
             pgw_upstream_set_loading(*upstream, true, UINT64_MAX);
@@ -208,7 +208,7 @@
     struct play *without = g_new0(struct play, 1);
 
     play_all(with, &options);
-    policy.off[PGW_LOAD_NEXT] = true;
+    policy.off[PGW_MECHANISM_LOAD_NEXT] = true;
     pgw_choose_options_apply(&options, &policy);
     play_all(without, &options);
     g_test_message("engines away for %.1f s, %.1f s without",
--- a/tests/unit/test_sidecar_links.c
+++ b/tests/unit/test_sidecar_links.c
@@ -81,7 +81,7 @@
 {
     pgw_list_foreach (
         item, pgw_upstream_table_all(pgw_gateway_upstreams(stage->gateway))) {
-        pgw_upstream_note_seen(
+        pgw_upstream_mark_seen(
             pgw_container_of(item, struct pgw_upstream, in_table), now_us);
     }
 }
@@ -184,7 +184,7 @@
     g_assert_nonnull(stage.link);
     upstream =
         pgw_upstream_table_find(pgw_gateway_upstreams(stage.gateway), "e0");
-    g_assert_false(upstream->guarded);
+    g_assert_false(upstream->sidecar_is_reporting);
     g_assert_cmpuint(upstream->load.running, ==, 0);
     pgw_link_close(stage.link);
     pgw_listener_free(stage.sidecar);
--- a/tests/unit/test_sidecarless.c
+++ b/tests/unit/test_sidecarless.c
@@ -46,17 +46,17 @@
     (void)task;
     switch (stage->call) {
     case READ:
-        pgw_sidecarless_take_read(stage->unguarded,
-                                  stage->other_holds ? PGW_LEASE_DONE
-                                                     : PGW_LEASE_ABSENT,
-                                  false, 0, stage->revision);
+        pgw_sidecarless_finish_read(stage->unguarded,
+                                    stage->other_holds ? PGW_LEASE_DONE
+                                                       : PGW_LEASE_ABSENT,
+                                    false, 0, stage->revision);
         break;
     case WRITE:
-        pgw_sidecarless_take_write(stage->unguarded, PGW_LEASE_DONE,
-                                   ++stage->revision);
+        pgw_sidecarless_finish_write(stage->unguarded, PGW_LEASE_DONE,
+                                     ++stage->revision);
         break;
     case TOKEN:
-        pgw_sidecarless_take_token(stage->unguarded, 41);
+        pgw_sidecarless_finish_token(stage->unguarded, 41);
         break;
     }
 }
@@ -212,7 +212,7 @@
 test_entry_orders(void)
 {
     stage_open(false);
-    scene_engine_play(&stage->engine, is_ordered);
+    scene_engine_serve(&stage->engine, is_ordered);
     g_assert_nonnull(strstr(stage->engine.order, "\"version\":2"));
     g_assert_nonnull(strstr(stage->engine.order, "\"fence\":41"));
     g_assert_nonnull(strstr(stage->engine.order, "\"holder\":\"entry-1\""));
--- a/tests/unit/test_source.c
+++ b/tests/unit/test_source.c
@@ -53,7 +53,7 @@
 
     expect(&input, PGW_SOURCE_STORE, true);
     input.has_store = false;
-    expect(&input, PGW_SOURCE_READ, false);
+    expect(&input, PGW_SOURCE_PREFILL, false);
 }
 
 /* The engine has all, as far as is known: long prompts are fetched all the
@@ -64,7 +64,7 @@
     struct pgw_source_input input = {
         .shared = 568, .has_holder = true, .has_store = true};
 
-    expect(&input, PGW_SOURCE_READ, false);
+    expect(&input, PGW_SOURCE_PREFILL, false);
     input.shared = 5382;
     expect(&input, PGW_SOURCE_ENGINE, false);
     input.has_holder = false;
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -91,7 +91,7 @@
     struct pgw_upstream_load load = {.running = 4, .waiting = 1};
 
     upstream->inflight = 2;
-    pgw_upstream_take_load(upstream, &load, NOW);
+    pgw_upstream_update_load(upstream, &load, NOW);
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 5);
     upstream->inflight = 1;
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 4);
@@ -111,13 +111,13 @@
         uint64_t pause;
 
         upstream->avoid_until_us = 0;
-        pgw_upstream_note(upstream, PGW_RESULT_UNREACHABLE, NOW);
+        pgw_upstream_record_attempt(upstream, PGW_RESULT_UNREACHABLE, NOW);
         pause = upstream->avoid_until_us - NOW;
         g_assert_cmpuint(pause, >=, last);
         g_assert_cmpuint(pause, <=, 2000000);
         last = pause;
     }
-    pgw_upstream_note(upstream, PGW_RESULT_GOOD, NOW);
+    pgw_upstream_record_attempt(upstream, PGW_RESULT_COMPLETED, NOW);
     g_assert_cmpuint(upstream->failures, ==, 0);
     pgw_upstream_table_free(table);
 }
@@ -129,17 +129,17 @@
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
 
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, true, NOW));
-    pgw_upstream_hold(upstream, 5, 96);
-    g_assert_true(pgw_upstream_holds(upstream, 5, 100, false, NOW));
-    g_assert_false(pgw_upstream_holds(upstream, 5, 200, false, NOW));
-    pgw_upstream_hold(upstream, 5, 0);
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, false, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, true, NOW));
+    pgw_upstream_set_cached_part(upstream, 5, 96);
+    g_assert_true(pgw_upstream_has_part(upstream, 5, 100, false, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 200, false, NOW));
+    pgw_upstream_set_cached_part(upstream, 5, 0);
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, false, NOW));
     pgw_recent_parts_add(&upstream->expected, 6, NOW);
-    g_assert_true(pgw_upstream_holds(upstream, 6, 100, true, NOW + 1));
-    g_assert_false(pgw_upstream_holds(upstream, 6, 100, false, NOW + 1));
+    g_assert_true(pgw_upstream_has_part(upstream, 6, 100, true, NOW + 1));
+    g_assert_false(pgw_upstream_has_part(upstream, 6, 100, false, NOW + 1));
     pgw_upstream_set_version(upstream, "m", 2);
-    g_assert_false(pgw_upstream_holds(upstream, 6, 100, true, NOW + 1));
+    g_assert_false(pgw_upstream_has_part(upstream, 6, 100, true, NOW + 1));
     pgw_upstream_table_free(table);
 }
 
@@ -172,12 +172,12 @@
     struct pgw_upstream *upstream = put_started(table, 1000, true);
     struct pgw_upstream_load load = {.running = 9, .kv_total = 100};
 
-    pgw_upstream_hold(upstream, 5, 96);
-    pgw_upstream_take_load(upstream, &load, NOW);
-    pgw_upstream_note(upstream, PGW_RESULT_UNREACHABLE, NOW);
+    pgw_upstream_set_cached_part(upstream, 5, 96);
+    pgw_upstream_update_load(upstream, &load, NOW);
+    pgw_upstream_record_attempt(upstream, PGW_RESULT_UNREACHABLE, NOW);
     g_assert_true(put_started(table, 2000, false) == upstream);
     g_assert_false(upstream->leaving);
-    g_assert_false(pgw_upstream_holds(upstream, 5, 100, true, NOW));
+    g_assert_false(pgw_upstream_has_part(upstream, 5, 100, true, NOW));
     g_assert_cmpuint(pgw_upstream_load_estimate(upstream, NOW), ==, 0);
     g_assert_cmpuint(upstream->avoid_until_us, ==, 0);
     put_started(table, 1000, true);
@@ -200,7 +200,7 @@
     put_started(table, 4000, false);
     g_assert_cmpuint(upstream->started_ms, ==, 4000);
     g_assert_false(upstream->leaving);
-    pgw_upstream_table_started(table, upstream, 9000);
+    pgw_upstream_table_set_start(table, upstream, 9000);
     g_assert_cmpuint(upstream->started_ms, ==, 9000);
     put_started(table, 4000, true);
     g_assert_cmpuint(upstream->started_ms, ==, 9000);
@@ -225,14 +225,14 @@
     };
 
     pgw_upstream_table_put(table, &facts);
-    pgw_upstream_table_set_divided(table, true);
+    pgw_upstream_table_set_remote_on_request(table, true);
     facts.id = "e2";
     facts.address = "127.0.0.1:2";
     pgw_upstream_table_put(table, &facts);
     g_assert_true(pgw_upstream_table_pool(table, "engines")->divided);
     put(table, "p", false);
     g_assert_false(pgw_upstream_table_pool(table, "s")->divided);
-    pgw_upstream_table_set_divided(table, false);
+    pgw_upstream_table_set_remote_on_request(table, false);
     g_assert_false(pgw_upstream_table_pool(table, "engines")->divided);
     pgw_upstream_table_free(table);
 }
@@ -247,12 +247,16 @@
     struct pgw_upstream_load load = {
         .running = 1, .kv_total = 100000, .long_prefills = 1, .unread = 20000};
 
-    pgw_upstream_take_load(upstream, &load, NOW);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW), ==, 20000);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW + 450000), ==,
-                      2000);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 40, NOW + 600000), ==, 0);
-    g_assert_cmpfloat(pgw_upstream_unread(upstream, 1, NOW + 2000000), ==, 0);
+    pgw_upstream_update_load(upstream, &load, NOW);
+    g_assert_cmpfloat(pgw_upstream_others_pending_tokens(upstream, 40, NOW),
+                      ==, 20000);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 40, NOW + 450000), ==,
+        2000);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 40, NOW + 600000), ==, 0);
+    g_assert_cmpfloat(
+        pgw_upstream_others_pending_tokens(upstream, 1, NOW + 2000000), ==, 0);
     pgw_upstream_table_free(table);
 }
 
--- a/tests/unit/test_weights_order.c
+++ b/tests/unit/test_weights_order.c
@@ -24,17 +24,17 @@
 {
     for (unsigned i = 0; i < 20; i++) {
         switch (pgw_weights_order_step(order, now)) {
-        case PGW_WEIGHTS_GET_TOKEN:
-            pgw_weights_order_token(order, 41, now);
+        case PGW_WEIGHTS_REQUEST_TOKEN:
+            pgw_weights_order_set_token(order, 41, now);
             break;
-        case PGW_WEIGHTS_ORDER:
+        case PGW_WEIGHTS_SEND_ORDER:
             return now;
-        case PGW_WEIGHTS_REST:
+        case PGW_WEIGHTS_WAIT:
             g_assert_cmpuint(order->next_us, >, now);
             now = order->next_us;
             break;
-        case PGW_WEIGHTS_ANNOUNCE:
-        case PGW_WEIGHTS_OPEN:
+        case PGW_WEIGHTS_ANNOUNCE_LOADING:
+        case PGW_WEIGHTS_ANNOUNCE_AVAILABLE:
             break;
         }
     }
@@ -48,21 +48,21 @@
     uint64_t now;
 
     g_assert_cmpint(pgw_weights_order_step(&order, START), ==,
-                    PGW_WEIGHTS_REST);
-    pgw_weights_order_want(&order, 2, TURN_US, START);
+                    PGW_WEIGHTS_WAIT);
+    pgw_weights_order_set_target(&order, 2, TURN_US, START);
     now = until_order(&order, START);
     g_assert_cmpuint(now, >=, START + TURN_US);
     g_assert_true(order.announced);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_ACCEPTED, now);
-    pgw_weights_order_report(&order, 1, true, 0, now + 1000);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_ACCEPTED, now);
+    pgw_weights_order_apply_report(&order, 1, true, 0, now + 1000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 1000), ==,
-                    PGW_WEIGHTS_REST);
-    pgw_weights_order_report(&order, 2, false, 0, now + 300000);
+                    PGW_WEIGHTS_WAIT);
+    pgw_weights_order_apply_report(&order, 2, false, 0, now + 300000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 300000), ==,
-                    PGW_WEIGHTS_OPEN);
+                    PGW_WEIGHTS_ANNOUNCE_AVAILABLE);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 300000), ==,
-                    PGW_WEIGHTS_REST);
+                    PGW_WEIGHTS_WAIT);
 }
 
 /*
@@ -76,21 +76,21 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 0, START);
-    pgw_weights_order_report(&order, 1, false, 5, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
+    pgw_weights_order_apply_report(&order, 1, false, 5, START);
     now = until_order(&order, START);
     g_assert_cmpuint(now, ==, START + options.drain_us);
     order = make();
-    pgw_weights_order_want(&order, 2, 0, START);
-    pgw_weights_order_report(&order, 1, false, 5, START);
-    pgw_weights_order_token(&order, 41, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
+    pgw_weights_order_apply_report(&order, 1, false, 5, START);
+    pgw_weights_order_set_token(&order, 41, START);
     g_assert_cmpint(pgw_weights_order_step(&order, START), ==,
-                    PGW_WEIGHTS_ANNOUNCE);
+                    PGW_WEIGHTS_ANNOUNCE_LOADING);
     now = START + options.announce_us;
-    g_assert_cmpint(pgw_weights_order_step(&order, now), ==, PGW_WEIGHTS_REST);
-    pgw_weights_order_report(&order, 1, false, 0, now);
+    g_assert_cmpint(pgw_weights_order_step(&order, now), ==, PGW_WEIGHTS_WAIT);
+    pgw_weights_order_apply_report(&order, 1, false, 0, now);
     g_assert_cmpint(pgw_weights_order_step(&order, now), ==,
-                    PGW_WEIGHTS_ORDER);
+                    PGW_WEIGHTS_SEND_ORDER);
 }
 
 /*
@@ -108,16 +108,16 @@
     far.report_lag_us = 1000000;
     pgw_weights_order_init(&order, &far);
     order.running = 1;
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     now = until_order(&order, START);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_ACCEPTED, now);
-    pgw_weights_order_report(&order, 1, false, 0, now + 900000);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_ACCEPTED, now);
+    pgw_weights_order_apply_report(&order, 1, false, 0, now + 900000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 900000), ==,
-                    PGW_WEIGHTS_REST);
-    pgw_weights_order_report(&order, 2, false, 0, now + 1000000);
+                    PGW_WEIGHTS_WAIT);
+    pgw_weights_order_apply_report(&order, 2, false, 0, now + 1000000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 1000000), ==,
-                    PGW_WEIGHTS_OPEN);
+                    PGW_WEIGHTS_ANNOUNCE_AVAILABLE);
 }
 
 /* The answer is lost. Until it is sure that the order is not on its way, no
@@ -128,16 +128,17 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     now = until_order(&order, START);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_LOST, now);
-    pgw_weights_order_report(&order, 1, false, 0, now + 1000);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_LOST, now);
+    pgw_weights_order_apply_report(&order, 1, false, 0, now + 1000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 1000), ==,
-                    PGW_WEIGHTS_REST);
-    pgw_weights_order_report(&order, 1, false, 0, now + options.settle_us);
+                    PGW_WEIGHTS_WAIT);
+    pgw_weights_order_apply_report(&order, 1, false, 0,
+                                   now + options.settle_us);
     g_assert_cmpint(pgw_weights_order_step(&order, now + options.settle_us),
-                    ==, PGW_WEIGHTS_ORDER);
+                    ==, PGW_WEIGHTS_SEND_ORDER);
 }
 
 /* The engine has seen a higher token: the next order bears a new one. */
@@ -147,14 +148,14 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     now = until_order(&order, START);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_FENCED, now);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_FENCED, now);
     now += options.again_us;
     g_assert_cmpint(pgw_weights_order_step(&order, now), ==,
-                    PGW_WEIGHTS_GET_TOKEN);
-    pgw_weights_order_token(&order, 99, now);
+                    PGW_WEIGHTS_REQUEST_TOKEN);
+    pgw_weights_order_set_token(&order, 99, now);
     until_order(&order, now);
     g_assert_cmpuint(order.token, ==, 99);
 }
@@ -164,18 +165,18 @@
 {
     struct pgw_weights_order order = make();
 
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     g_assert_cmpint(pgw_weights_order_step(&order, START), ==,
-                    PGW_WEIGHTS_GET_TOKEN);
+                    PGW_WEIGHTS_REQUEST_TOKEN);
     g_assert_cmpint(pgw_weights_order_step(&order, START), ==,
-                    PGW_WEIGHTS_REST);
-    pgw_weights_order_token(&order, 0, START);
+                    PGW_WEIGHTS_WAIT);
+    pgw_weights_order_set_token(&order, 0, START);
     g_assert_cmpint(pgw_weights_order_step(&order, START), ==,
-                    PGW_WEIGHTS_REST);
+                    PGW_WEIGHTS_WAIT);
     g_assert_false(order.announced);
     g_assert_cmpint(
         pgw_weights_order_step(&order, START + options.token_again_us), ==,
-        PGW_WEIGHTS_GET_TOKEN);
+        PGW_WEIGHTS_REQUEST_TOKEN);
 }
 
 /* A version is named while the one before is being loaded: the newest one is
@@ -186,15 +187,15 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     now = until_order(&order, START);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_ACCEPTED, now);
-    pgw_weights_order_want(&order, 4, 0, now);
-    pgw_weights_order_want(&order, 3, 0, now);
-    pgw_weights_order_report(&order, 2, false, 0, now + 300000);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_ACCEPTED, now);
+    pgw_weights_order_set_target(&order, 4, 0, now);
+    pgw_weights_order_set_target(&order, 3, 0, now);
+    pgw_weights_order_apply_report(&order, 2, false, 0, now + 300000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 300000), ==,
-                    PGW_WEIGHTS_ORDER);
+                    PGW_WEIGHTS_SEND_ORDER);
     g_assert_cmpuint(order.wanted, ==, 4);
 }
 
@@ -206,9 +207,9 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 3 * TURN_US, START);
-    pgw_weights_order_want(&order, 2, TURN_US, START);
-    pgw_weights_order_want(&order, 3, 2 * TURN_US, START);
+    pgw_weights_order_set_target(&order, 2, 3 * TURN_US, START);
+    pgw_weights_order_set_target(&order, 2, TURN_US, START);
+    pgw_weights_order_set_target(&order, 3, 2 * TURN_US, START);
     now = until_order(&order, START);
     g_assert_cmpuint(now, >=, START + TURN_US);
     g_assert_cmpuint(now, <, START + 2 * TURN_US);
@@ -223,16 +224,16 @@
     struct pgw_weights_order order = make();
     uint64_t now;
 
-    pgw_weights_order_want(&order, 2, 0, START);
+    pgw_weights_order_set_target(&order, 2, 0, START);
     now = until_order(&order, START);
-    pgw_weights_order_sent(&order, now);
-    pgw_weights_order_answer(&order, PGW_ORDER_ACCEPTED, now);
-    pgw_weights_order_want(&order, 3, TURN_US, now);
-    pgw_weights_order_report(&order, 2, false, 0, now + 300000);
+    pgw_weights_order_mark_sent(&order, now);
+    pgw_weights_order_handle_answer(&order, PGW_ORDER_ACCEPTED, now);
+    pgw_weights_order_set_target(&order, 3, TURN_US, now);
+    pgw_weights_order_apply_report(&order, 2, false, 0, now + 300000);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 300000), ==,
-                    PGW_WEIGHTS_OPEN);
+                    PGW_WEIGHTS_ANNOUNCE_AVAILABLE);
     g_assert_cmpint(pgw_weights_order_step(&order, now + 300000), ==,
-                    PGW_WEIGHTS_REST);
+                    PGW_WEIGHTS_WAIT);
     g_assert_cmpuint(order.next_us, ==, now + TURN_US);
 }
 
