--- a/include/parsleygw/store.h
+++ b/include/parsleygw/store.h
@@ -117,19 +117,19 @@
  * @url: base URL, "http://ip:port"
  * @connect_timeout_ms: time for a connection, milliseconds
  * @max_idle: connections kept open between calls
- * @max_answer: largest answer taken, bytes
+ * @max_response_bytes: largest answer taken, bytes
  */
 struct pgw_store_options {
     const char *url;
     uint32_t connect_timeout_ms;
     uint32_t max_idle;
-    size_t max_answer;
+    size_t max_response_bytes;
 };
 
 #define PGW_STORE_OPTIONS_INIT                                                \
     {                                                                         \
         .url = NULL, .connect_timeout_ms = 1000, .max_idle = 8,               \
-        .max_answer = (size_t)32 * 1024 * 1024                                \
+        .max_response_bytes = (size_t)32 * 1024 * 1024                        \
     }
 
 /**
@@ -163,7 +163,7 @@
                          GError **error);
 
 /**
- * pgw_store_put_settled() - conditional write that survives a lost answer
+ * pgw_store_put_confirmed() - conditional write that survives a lost answer
  * @store: the store
  * @out: as for put_if
  * @kind: kind of the object
@@ -182,11 +182,11 @@
  * the two is refused. Calls without effect (outage, rate limit) are repeated
  * until the deadline, with growing, jittered pauses.
  */
-bool pgw_store_put_settled(struct pgw_store *store,
-                           struct pgw_store_object *out, const char *kind,
-                           const char *name, uint64_t expected,
-                           const char *value, const char *nonce,
-                           uint64_t deadline_us, GError **error);
+bool pgw_store_put_confirmed(struct pgw_store *store,
+                             struct pgw_store_object *out, const char *kind,
+                             const char *name, uint64_t expected,
+                             const char *value, const char *nonce,
+                             uint64_t deadline_us, GError **error);
 
 /** pgw_store_object_dispose() - release what a call put into @object */
 void pgw_store_object_dispose(struct pgw_store_object *object);
--- a/include/parsleygw/watch.h
+++ b/include/parsleygw/watch.h
@@ -23,10 +23,10 @@
  * stuck is served again within seconds, without a lock or an election.
  */
 
-#define PGW_WATCH_PER_ZONE 2
+#define PGW_WATCHERS_PER_ZONE 2
 
 /**
- * pgw_watch_is_mine() - does this process watch the store for its zone?
+ * pgw_watch_is_selected() - does this process watch the store for its zone?
  * @self: instance id of this process
  * @peers: ids of the processes of the zone that may watch; one that is not
  *   among them does not, unless there are none at all
@@ -37,18 +37,19 @@
  * Rendezvous hashing: with the same @peers all processes choose alike; with
  * different views somewhat more than @k watch.
  */
-bool pgw_watch_is_mine(const char *self, const char *const *peers, size_t n,
-                       const char *zone, unsigned k);
+bool pgw_watch_is_selected(const char *self, const char *const *peers,
+                           size_t n, const char *zone, unsigned k);
 
 /**
- * pgw_watch_floor_us() - pause between two own looks of a non-watcher
+ * pgw_watch_poll_pause_us() - pause between two own looks of a non-watcher
  * @n: processes in the zone
  * @interval_us: mean time between two looks of the whole zone
  * @random: 0 to 1
  *
  * Return: microseconds, uniform around @n times @interval_us.
  */
-uint64_t pgw_watch_floor_us(size_t n, uint64_t interval_us, double random);
+uint64_t pgw_watch_poll_pause_us(size_t n, uint64_t interval_us,
+                                 double random);
 
 /**
  * pgw_watch_backoff_us() - pause after failed calls
@@ -65,12 +66,12 @@
 /**
  * struct pgw_watch_batch - what one call to the store brought
  * @kind: kind of the objects
- * @whole: a list: objects that are missing from it do not exist
+ * @is_full_list: a list: objects that are missing from it do not exist
  * @list: the objects, or changes, and the collection's version
  */
 struct pgw_watch_batch {
     const char *kind;
-    bool whole;
+    bool is_full_list;
     struct pgw_store_list list;
 };
 
@@ -104,12 +105,14 @@
  *   thread that owns the set, release with pgw_watch_batch_free()
  * @data: handed to @on_batch
  * @wait_ms: longest wait of one watch call; also of pgw_watch_free()
- * @grace_us: time for peers to bring a first copy before the store is asked
- * @floor_us: see pgw_watch_floor_us()
- * @extra_us: how long a process that found missed changes goes on watching
- * @relist_us: time after which a watcher lists again to reconcile
- * @backoff_us: longest pause after failures
- * @call_us: time for one call beyond its wait
+ * @peer_grace_us: time for peers to bring a first copy before the store is
+ * asked
+ * @poll_interval_us: see pgw_watch_poll_pause_us()
+ * @fallback_watch_us: how long a process that found missed changes goes on
+ * watching
+ * @relist_interval_us: time after which a watcher lists again to reconcile
+ * @max_backoff_us: longest pause after failures
+ * @call_timeout_us: time for one call beyond its wait
  */
 struct pgw_watch_options {
     struct pgw_store *store;
@@ -119,19 +122,20 @@
     void (*on_batch)(void *data, struct pgw_watch_batch *batch);
     void *data;
     uint32_t wait_ms;
-    uint64_t grace_us;
-    uint64_t floor_us;
-    uint64_t extra_us;
-    uint64_t relist_us;
-    uint64_t backoff_us;
-    uint64_t call_us;
+    uint64_t peer_grace_us;
+    uint64_t poll_interval_us;
+    uint64_t fallback_watch_us;
+    uint64_t relist_interval_us;
+    uint64_t max_backoff_us;
+    uint64_t call_timeout_us;
 };
 
 #define PGW_WATCH_OPTIONS_INIT                                                \
     {                                                                         \
-        .wait_ms = 2000, .grace_us = 500000, .floor_us = 2000000,             \
-        .extra_us = 30000000, .relist_us = (uint64_t)3600 * 1000000,          \
-        .backoff_us = 10000000, .call_us = 10000000                           \
+        .wait_ms = 2000, .peer_grace_us = 500000,                             \
+        .poll_interval_us = 2000000, .fallback_watch_us = 30000000,           \
+        .relist_interval_us = (uint64_t)3600 * 1000000,                       \
+        .max_backoff_us = 10000000, .call_timeout_us = 10000000               \
     }
 
 /** pgw_watch_new() - start the threads, one a kind */
@@ -152,13 +156,14 @@
                          size_t n);
 
 /**
- * pgw_watch_set_held() - highest version of a kind that this process holds
+ * pgw_watch_set_local_version() - highest version of a kind that this process
+ * holds
  *
  * Call after changes came from peers. While it is 0 for a kind, a process
  * that does not watch lists it from the store after the grace.
  */
-void pgw_watch_set_held(struct pgw_watch *watch, const char *kind,
-                        uint64_t version);
+void pgw_watch_set_local_version(struct pgw_watch *watch, const char *kind,
+                                 uint64_t version);
 
 /**
  * struct pgw_watch_state - for /readyz, metrics and logs
--- a/src/gateway/gossip.c
+++ b/src/gateway/gossip.c
@@ -13,7 +13,7 @@
 #define ADVERTISE_DELAY_US 150000
 /* A frame of documents is sent once it has this size. With one more object of
  * the largest size that the store accepts (1 MiB), it stays below
- * PGW_FRAME_MAX. */
+ * PGW_FRAME_MAX_SIZE. */
 #define FRAME_TARGET_BYTES ((size_t)1 << 20)
 /* Most kinds of objects that are passed on. */
 #define KINDS_MAX 8
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -202,7 +202,7 @@
         discard_reports(upstream);
         /* The machine closed the connection itself, so it is reachable, and
          * the end of the reports does not make the engine suspect. */
-        if (pgw_link_was_ended(connection)) {
+        if (pgw_link_was_ended_by_peer(connection)) {
             upstream->last_seen_us = 0;
         }
     }
@@ -226,7 +226,7 @@
     const struct pgw_gateway *gateway = link->links->gateway;
     Pgw__Hello hello = PGW__HELLO__INIT;
 
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = (char *)pgw_gateway_instance(gateway);
     hello.role = (char *)"entry";
     hello.zone = (char *)pgw_gateway_zone(gateway);
--- a/src/libparsleygw/store.c
+++ b/src/libparsleygw/store.c
@@ -217,10 +217,10 @@
 }
 
 bool
-pgw_store_put_settled(struct pgw_store *store, struct pgw_store_object *out,
-                      const char *kind, const char *name, uint64_t expected,
-                      const char *value, const char *nonce,
-                      uint64_t deadline_us, GError **error)
+pgw_store_put_confirmed(struct pgw_store *store, struct pgw_store_object *out,
+                        const char *kind, const char *name, uint64_t expected,
+                        const char *value, const char *nonce,
+                        uint64_t deadline_us, GError **error)
 {
     struct settle settle = {.store = store,
                             .out = out,
--- a/src/libparsleygw/store_http.c
+++ b/src/libparsleygw/store_http.c
@@ -5,14 +5,14 @@
 
 #include "parsleygw/errors.h"
 #include "parsleygw/store.h"
-#include "store_answer.h"
+#include "store_response.h"
 
 struct http_store {
     struct pgw_store base;
     char *url;
     uint32_t connect_timeout_ms;
     uint32_t max_idle;
-    size_t max_answer;
+    size_t max_response_bytes;
     pthread_mutex_t lock;
     GQueue idle; /* CURL handles with their open connections */
 };
@@ -65,7 +65,7 @@
 {
     struct call *call = pointer;
 
-    if (call->answer->len + size * count > call->store->max_answer) {
+    if (call->answer->len + size * count > call->store->max_response_bytes) {
         call->too_large = true;
         return 0;
     }
@@ -197,7 +197,7 @@
     if (call->too_large) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_TOO_LARGE,
                     "%s: answer over %zu bytes: split the collection",
-                    call->what, call->store->max_answer);
+                    call->what, call->store->max_response_bytes);
     }
     else if (!was_sent(call, code)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
@@ -310,7 +310,7 @@
     call_init(&call, http_store(store), "GET", "/objects/%s/%s", kind, name);
     ok = call_run(&call, deadline_us, error);
     if (ok &&
-        !pgw_store__read_object(out, call.answer->str, call.answer->len)) {
+        !pgw_store__parse_object(out, call.answer->str, call.answer->len)) {
         ok = set_nonsense_error(&call, error);
     }
     call_dispose(&call);
@@ -324,8 +324,8 @@
     bool ok = call_run(call, deadline_us, error);
 
     *out = (struct pgw_store_list){0};
-    if (ok && !pgw_store__read_list(out, call->answer->str, call->answer->len,
-                                    member)) {
+    if (ok && !pgw_store__parse_list(out, call->answer->str, call->answer->len,
+                                     member)) {
         ok = set_nonsense_error(call, error);
     }
     call_dispose(call);
@@ -369,7 +369,7 @@
     call_set_body(&call, value);
     ok = call_run(&call, deadline_us, error);
     if ((ok || call.status == 409) &&
-        !pgw_store__read_object(out, call.answer->str, call.answer->len)) {
+        !pgw_store__parse_object(out, call.answer->str, call.answer->len)) {
         if (ok) {
             ok = set_nonsense_error(&call, error);
         }
@@ -406,7 +406,7 @@
     call_init(&call, http_store(store), "GET", "/instances");
     ok = call_run(&call, deadline_us, error);
     if (ok &&
-        !pgw_store__read_instances(out, call.answer->str, call.answer->len)) {
+        !pgw_store__parse_instances(out, call.answer->str, call.answer->len)) {
         ok = set_nonsense_error(&call, error);
     }
     call_dispose(&call);
@@ -469,7 +469,7 @@
     }
     store->connect_timeout_ms = options->connect_timeout_ms;
     store->max_idle = options->max_idle;
-    store->max_answer = options->max_answer;
+    store->max_response_bytes = options->max_response_bytes;
     pthread_mutex_init(&store->lock, NULL);
     g_queue_init(&store->idle);
     *out = &store->base;
--- a/src/libparsleygw/store_answer.c
+++ b/src/libparsleygw/store_response.c
@@ -1,4 +1,4 @@
-#include "store_answer.h"
+#include "store_response.h"
 
 #include <string.h>
 
@@ -15,8 +15,8 @@
 }
 
 bool
-pgw_store__read_object(struct pgw_store_object *out, const char *text,
-                       size_t size)
+pgw_store__parse_object(struct pgw_store_object *out, const char *text,
+                        size_t size)
 {
     JsonNode *document =
         pgw_config__json_parse(text, (gssize)size, "answer", NULL);
@@ -63,8 +63,8 @@
 }
 
 bool
-pgw_store__read_list(struct pgw_store_list *out, const char *text, size_t size,
-                     const char *member)
+pgw_store__parse_list(struct pgw_store_list *out, const char *text,
+                      size_t size, const char *member)
 {
     GArray *objects =
         g_array_new(FALSE, FALSE, sizeof(struct pgw_store_object));
@@ -78,7 +78,7 @@
     ok = pgw_json__slice_init(&slice, text, size, member);
     array = slice.next;
     while (ok && pgw_json__slice_next(&slice, &element, &length)) {
-        ok = pgw_store__read_object(&object, element, length);
+        ok = pgw_store__parse_object(&object, element, length);
         if (ok) {
             g_array_append_val(objects, object);
         }
@@ -95,8 +95,8 @@
 }
 
 bool
-pgw_store__read_instances(struct pgw_store_instances *out, const char *text,
-                          size_t size)
+pgw_store__parse_instances(struct pgw_store_instances *out, const char *text,
+                           size_t size)
 {
     JsonNode *document =
         pgw_config__json_parse(text, (gssize)size, "answer", NULL);
--- a/src/libparsleygw/watch.c
+++ b/src/libparsleygw/watch.c
@@ -85,17 +85,18 @@
 }
 
 static void
-hand_over(struct watcher *watcher, struct pgw_store_list *list, bool whole)
+hand_over(struct watcher *watcher, struct pgw_store_list *list,
+          bool is_full_list)
 {
     struct pgw_watch_batch *batch;
 
-    if (list->n == 0 && !whole) {
+    if (list->n == 0 && !is_full_list) {
         pgw_store_list_dispose(list);
         return;
     }
     batch = g_new0(struct pgw_watch_batch, 1);
     batch->kind = watcher->kind;
-    batch->whole = whole;
+    batch->is_full_list = is_full_list;
     batch->list = *list;
     watcher->watch->options.on_batch(watcher->watch->options.data, batch);
 }
@@ -109,8 +110,9 @@
     gint64 now = g_get_monotonic_time();
     bool ok;
 
-    ok = pgw_store_list(watch->options.store, &list, watcher->kind,
-                        (uint64_t)now + watch->options.call_us, &error);
+    ok =
+        pgw_store_list(watch->options.store, &list, watcher->kind,
+                       (uint64_t)now + watch->options.call_timeout_us, &error);
     note_result(watcher, error);
     g_clear_error(&error);
     if (!ok) {
@@ -132,7 +134,7 @@
     struct pgw_watch *watch = watcher->watch;
     struct pgw_store_list changes;
     GError *error = NULL;
-    uint64_t limit = watch->options.call_us + (uint64_t)wait_ms * 1000;
+    uint64_t limit = watch->options.call_timeout_us + (uint64_t)wait_ms * 1000;
     bool too_old;
     bool ok;
 
@@ -189,7 +191,7 @@
     bool found;
 
     if (!watcher->listed || watcher->too_old ||
-        now - watcher->listed_at > (gint64)options->relist_us) {
+        now - watcher->listed_at > (gint64)options->relist_interval_us) {
         return list_all(watcher);
     }
     return watch_once(watcher, watcher->cursor, options->wait_ms, &found);
@@ -228,7 +230,7 @@
 #endif
     if (found) {
         watcher->extra_until =
-            g_get_monotonic_time() + (gint64)options->extra_us;
+            g_get_monotonic_time() + (gint64)options->fallback_watch_us;
     }
     return true;
 }
@@ -240,8 +242,8 @@
 {
     struct pgw_watch *watch = watcher->watch;
     gint64 now = g_get_monotonic_time();
-    uint64_t pause = pgw_watch_floor_us(role->n_peers, watch->options.floor_us,
-                                        g_random_double());
+    uint64_t pause = pgw_watch_poll_pause_us(
+        role->n_peers, watch->options.poll_interval_us, g_random_double());
 
     watcher->listed = false;
     if (watcher->look_at == 0) {
@@ -269,7 +271,7 @@
 wait_grace(struct watcher *watcher)
 {
     struct pgw_watch *watch = watcher->watch;
-    uint64_t grace = watch->options.grace_us;
+    uint64_t grace = watch->options.peer_grace_us;
     gint64 until = watch->started_at + (gint64)grace +
                    (gint64)(g_random_double() * (double)grace);
     bool go_on = true;
@@ -308,7 +310,7 @@
         }
         if (!ok) {
             pause = pgw_watch_backoff_us(
-                watcher->failures, options->backoff_us, g_random_double());
+                watcher->failures, options->max_backoff_us, g_random_double());
         }
         go_on = pause_for(watch, pause);
     }
@@ -368,8 +370,8 @@
 pgw_watch_set_peers(struct pgw_watch *watch, const char *const *peers,
                     size_t n)
 {
-    bool mine = pgw_watch_is_mine(watch->self, peers, n, watch->zone,
-                                  PGW_WATCH_PER_ZONE);
+    bool mine = pgw_watch_is_selected(watch->self, peers, n, watch->zone,
+                                      PGW_WATCHERS_PER_ZONE);
 
     pthread_mutex_lock(&watch->lock);
     watch->peers_known = true;
@@ -380,7 +382,8 @@
 }
 
 void
-pgw_watch_set_held(struct pgw_watch *watch, const char *kind, uint64_t version)
+pgw_watch_set_local_version(struct pgw_watch *watch, const char *kind,
+                            uint64_t version)
 {
     pthread_mutex_lock(&watch->lock);
     for (size_t i = 0; i < watch->n_watchers; i++) {
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -15,8 +15,8 @@
 }
 
 bool
-pgw_watch_is_mine(const char *self, const char *const *peers, size_t n,
-                  const char *zone, unsigned k)
+pgw_watch_is_selected(const char *self, const char *const *peers, size_t n,
+                      const char *zone, unsigned k)
 {
     uint64_t own = weight(self, zone);
     unsigned better = 0;
@@ -35,7 +35,7 @@
 }
 
 uint64_t
-pgw_watch_floor_us(size_t n, uint64_t interval_us, double random)
+pgw_watch_poll_pause_us(size_t n, uint64_t interval_us, double random)
 {
     double mean = (double)MAX(n, 1) * (double)interval_us;
 
@@ -135,7 +135,7 @@
                       struct pgw_config_set *set, pgw_config_object_func func,
                       void *data)
 {
-    if (batch->whole) {
+    if (batch->is_full_list) {
         foreach_missing(batch, set, func, data);
     }
     for (size_t i = 0; i < batch->list.n; i++) {
@@ -147,7 +147,7 @@
                  data);
         }
     }
-    if (batch->whole && is_complete(batch, set)) {
+    if (batch->is_full_list && is_complete(batch, set)) {
         pgw_config_set_listed(set, batch->kind, batch->list.version);
     }
 }
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -217,25 +217,25 @@
 
     fixture_init(&fixture);
     order(&fixture, "_control", "{\"lose_answers\":1}");
-    g_assert_true(pgw_store_put_settled(fixture.store, &object, "pool", "a", 0,
-                                        "{\"by\":\"n1\"}", "n1",
-                                        in_seconds(20), &error));
+    g_assert_true(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
+                                          0, "{\"by\":\"n1\"}", "n1",
+                                          in_seconds(20), &error));
     g_assert_no_error(error);
     version = object.version;
     g_assert_cmpuint(version, >, 0);
     pgw_store_object_dispose(&object);
 
     /* Without a lost answer another writer's value is a plain conflict. */
-    g_assert_false(pgw_store_put_settled(fixture.store, &object, "pool", "a",
-                                         0, "{\"by\":\"n2\"}", "n2",
-                                         in_seconds(20), &error));
+    g_assert_false(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
+                                           0, "{\"by\":\"n2\"}", "n2",
+                                           in_seconds(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_CONFLICT);
     g_clear_error(&error);
     g_assert_cmpstr(object.value, ==, "{\"by\":\"n1\"}");
     pgw_store_object_dispose(&object);
 
     order(&fixture, "_control", "{\"outage\":true}");
-    g_assert_false(pgw_store_put_settled(
+    g_assert_false(pgw_store_put_confirmed(
         fixture.store, &object, "pool", "a", version, "{\"by\":\"n3\"}", "n3",
         (uint64_t)g_get_monotonic_time() + 100000, &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE);
@@ -293,9 +293,9 @@
     struct pgw_store_object object;
     GError *error = NULL;
 
-    g_assert_false(pgw_store_put_settled(&fake.base, &object, "pool", "a", 1,
-                                         "{\"by\":\"n1\"}", "n1",
-                                         in_seconds(20), &error));
+    g_assert_false(pgw_store_put_confirmed(&fake.base, &object, "pool", "a", 1,
+                                           "{\"by\":\"n1\"}", "n1",
+                                           in_seconds(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME);
     g_assert_cmpuint(fake.writes, ==, 1);
     g_clear_error(&error);
--- a/tests/unit/test_watch.c
+++ b/tests/unit/test_watch.c
@@ -154,9 +154,9 @@
     options->on_batch = take_batch;
     options->data = memory;
     options->wait_ms = 20;
-    options->grace_us = 1000;
-    options->floor_us = 1000;
-    options->backoff_us = 300000;
+    options->peer_grace_us = 1000;
+    options->poll_interval_us = 1000;
+    options->max_backoff_us = 300000;
 }
 
 static void
@@ -231,14 +231,14 @@
     struct memory_store memory;
     struct pgw_watch_options options = PGW_WATCH_OPTIONS_INIT;
 
-    g_assert_false(pgw_watch_is_mine("self", peers, G_N_ELEMENTS(peers), "z1",
-                                     PGW_WATCH_PER_ZONE));
+    g_assert_false(pgw_watch_is_selected("self", peers, G_N_ELEMENTS(peers),
+                                         "z1", PGW_WATCHERS_PER_ZONE));
     memory_init(&memory, &options);
     apply("pool", "a", 5, POOL, &memory);
-    options.grace_us = 100000;
+    options.peer_grace_us = 100000;
     memory.watch = pgw_watch_new(&options);
     pgw_watch_set_peers(memory.watch, peers, G_N_ELEMENTS(peers));
-    pgw_watch_set_held(memory.watch, "pool", 5);
+    pgw_watch_set_local_version(memory.watch, "pool", 5);
     set_store(&memory, 6, false);
     g_assert_true(wait_version(&memory, 6));
     /* Meanwhile the store forgot the changes since then. */
@@ -261,7 +261,7 @@
     struct pgw_watch_state state;
 
     memory_init(&memory, &options);
-    options.grace_us = (uint64_t)3600 * G_USEC_PER_SEC;
+    options.peer_grace_us = (uint64_t)3600 * G_USEC_PER_SEC;
     memory.watch = pgw_watch_new(&options);
     pgw_watch_set_peers(memory.watch, peers, G_N_ELEMENTS(peers));
     g_usleep(50000);
@@ -277,7 +277,7 @@
     struct memory_store memory;
     struct pgw_watch_options options = PGW_WATCH_OPTIONS_INIT;
     struct pgw_watch_batch batch = {
-        .kind = "pool", .whole = true, .list.version = 4};
+        .kind = "pool", .is_full_list = true, .list.version = 4};
 
     memory_init(&memory, &options);
     apply("pool", "a", 5, POOL, &memory);
@@ -297,15 +297,16 @@
     unsigned watchers = 0;
 
     for (size_t i = 0; i < G_N_ELEMENTS(peers); i++) {
-        watchers +=
-            pgw_watch_is_mine(peers[i], peers, G_N_ELEMENTS(peers), "z1", 2);
+        watchers += pgw_watch_is_selected(peers[i], peers, G_N_ELEMENTS(peers),
+                                          "z1", 2);
     }
     g_assert_cmpuint(watchers, ==, 2);
-    g_assert_true(pgw_watch_is_mine("self", NULL, 0, "z1", 2));
-    g_assert_false(pgw_watch_is_mine("self", peers, 1, "z1", 2));
+    g_assert_true(pgw_watch_is_selected("self", NULL, 0, "z1", 2));
+    g_assert_false(pgw_watch_is_selected("self", peers, 1, "z1", 2));
     g_assert_cmpuint(pgw_watch_backoff_us(1, 10000000, 0), ==, 100000);
     g_assert_cmpuint(pgw_watch_backoff_us(1000, 10000000, 1), ==, 10000000);
-    g_assert_cmpuint(pgw_watch_floor_us(3000, 2000000, 0.5), ==, 6000000000);
+    g_assert_cmpuint(pgw_watch_poll_pause_us(3000, 2000000, 0.5), ==,
+                     6000000000);
 }
 
 int
