--- a/bench/control/fleet.c
+++ b/bench/control/fleet.c
@@ -285,8 +285,8 @@
         n++;
     }
     for (unsigned i = 0; i < n; i++) {
-        if (pgw_watch_is_mine(names[i], peers, n, "zone-0",
-                              PGW_WATCH_PER_ZONE)) {
+        if (pgw_watch_is_selected(names[i], peers, n, "zone-0",
+                                  PGW_WATCHERS_PER_ZONE)) {
             return i * ZONES;
         }
     }
--- a/bench/control/peers.c
+++ b/bench/control/peers.c
@@ -50,7 +50,7 @@
     else {
         snprintf(name, sizeof(name), "entry-%04u", peer->number);
     }
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = name;
     hello.role = peer->peers->are_sidecars ? "sidecar" : "entry";
     hello.zone = "zone-0";
--- a/bench/microbench/frame.c
+++ b/bench/microbench/frame.c
@@ -114,8 +114,8 @@
 
     (void)turn;
     pgw_frame_append(&state->buffer, state->type, state->message);
-    if (pgw_frame_take(&type, &message, &state->buffer, NULL) !=
-        PGW_FRAME_TAKEN) {
+    if (pgw_frame_decode(&type, &message, &state->buffer, NULL) !=
+        PGW_FRAME_DECODED) {
         g_error("a frame of our own was not taken");
     }
     microbench_use((uintptr_t)message);
--- a/include/parsleygw/io.h
+++ b/include/parsleygw/io.h
@@ -7,14 +7,15 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Store operations asked for by pure state machines
+ * DOC: Store operations requested by state machines
  *
- * The machines of claim.h and quarantine.h do no I/O: they hand out an
- * operation on an object of the object API and are told how it ended.
+ * The state machines of claim.h and quarantine.h do no I/O. They return an
+ * operation on an object of the object API; their owner executes it and
+ * passes the reply back.
  */
 
 /**
- * enum pgw_io_kind - operation wanted
+ * enum pgw_io_kind - type of an operation
  * @PGW_IO_NONE: none
  * @PGW_IO_READ: get the object
  * @PGW_IO_WRITE: conditional put
@@ -29,9 +30,9 @@
 
 /**
  * struct pgw_io - an operation
- * @kind: which
- * @expected_version: version to be replaced or deleted; 0: none may exist
- * @value: for WRITE: the new value as JSON; owned
+ * @kind: type
+ * @expected_version: version to replace or delete; 0: must not exist
+ * @value: for WRITE: the new value as JSON; owned by the operation
  * @length: bytes of @value
  */
 struct pgw_io {
@@ -41,17 +42,18 @@
     size_t length;
 };
 
-/** pgw_io_dispose() - drop what an operation owns */
+/** pgw_io_dispose() - release the value and reset the operation to NONE */
 void pgw_io_dispose(struct pgw_io *io);
 
 /**
- * enum pgw_io_result - how an operation ended
- * @PGW_IO_OK: done; for a read: the object exists
- * @PGW_IO_MISSING: for a read or delete: there is no such object
- * @PGW_IO_CONFLICT: another version stands; nothing was changed
- * @PGW_IO_THROTTLED: over the rate limit; nothing was done
- * @PGW_IO_UNAVAILABLE: it certainly was not done
- * @PGW_IO_UNKNOWN: no answer; it may have been done, or may be yet
+ * enum pgw_io_result - outcome of an operation
+ * @PGW_IO_OK: success; for a read: the object exists
+ * @PGW_IO_MISSING: for a read or delete: the object does not exist
+ * @PGW_IO_CONFLICT: the object has another version; nothing was changed
+ * @PGW_IO_THROTTLED: the rate limit was exceeded; the operation had no effect
+ * @PGW_IO_UNAVAILABLE: the operation failed and had no effect
+ * @PGW_IO_UNKNOWN: the response was lost; the operation may have taken effect
+ *   or may do so later
  */
 enum pgw_io_result {
     PGW_IO_OK,
@@ -63,11 +65,11 @@
 };
 
 /**
- * struct pgw_io_reply - answer to an operation
- * @result: how it ended
+ * struct pgw_io_reply - reply to an operation
+ * @result: outcome
  * @version: for OK: the object's version (the new one after a write); for
- *           CONFLICT: the current one, 0 when not told
- * @value: for OK of a read, and for CONFLICT when told; else NULL
+ *           CONFLICT: the current one, 0 when unknown
+ * @value: for OK of a read, and for CONFLICT when known; otherwise NULL
  * @length: bytes of @value
  */
 struct pgw_io_reply {
--- a/include/parsleygw/permit.h
+++ b/include/parsleygw/permit.h
@@ -103,7 +103,7 @@
 /**
  * pgw_permit_table_format() - JSON text of a table
  * @table: the table
- * @nonce: identity of this write, see pgw_store_put_settled()
+ * @nonce: identity of this write, see pgw_store_put_confirmed()
  *
  * Return: text to release with g_free().
  */
--- a/include/parsleygw/watch.h
+++ b/include/parsleygw/watch.h
@@ -14,79 +14,83 @@
 /**
  * DOC: Watching the store's configuration
  *
- * Two processes of each availability zone, chosen by a pure rule, watch the
- * store and pass on what they read; the others hear of changes from their
- * peers. As nobody watches the watchers, every process also looks into the
- * store by itself now and then, the more seldom the more processes the zone
- * has; one that finds a change which its peers should have told it watches
- * for a while as well. So a zone whose chosen watchers are dead, cut off or
- * stuck is served again within seconds, without a lock or an election.
+ * Rendezvous hashing selects two processes of each availability zone as
+ * watchers. They watch the store and send changes to their peers by gossip.
+ * Every other process polls the store at intervals that grow with the number
+ * of processes in the zone. A process whose poll finds a change that gossip
+ * did not bring becomes a fallback watcher for a limited time. A zone whose
+ * selected watchers have crashed, are partitioned or hang thus receives
+ * changes again within seconds, without a lock or an election.
  */
 
-#define PGW_WATCH_PER_ZONE 2
+#define PGW_WATCHERS_PER_ZONE 2
 
 /**
- * pgw_watch_is_mine() - does this process watch the store for its zone?
- * @self: instance id of this process
- * @peers: ids of the processes of the zone that may watch; one that is not
- *   among them does not, unless there are none at all
+ * pgw_watch_is_selected() - whether a process is a watcher of its zone
+ * @self: instance id of the process
+ * @peers: instance ids of the candidates in the zone; a process that is not
+ *   among them is not selected, unless @n is 0
  * @n: number of @peers
  * @zone: availability zone
- * @k: watchers wanted
+ * @k: number of watchers to select
  *
- * Rendezvous hashing: with the same @peers all processes choose alike; with
- * different views somewhat more than @k watch.
+ * Uses rendezvous hashing: processes with the same @peers select the same
+ * watchers. While views of membership differ, slightly more than @k processes
+ * may watch.
  */
-bool pgw_watch_is_mine(const char *self, const char *const *peers, size_t n,
-                       const char *zone, unsigned k);
+bool pgw_watch_is_selected(const char *self, const char *const *peers,
+                           size_t n, const char *zone, unsigned k);
 
 /**
- * pgw_watch_floor_us() - pause between two own looks of a non-watcher
+ * pgw_watch_poll_pause_us() - pause between two polls by a process that is no
+ * watcher
  * @n: processes in the zone
- * @interval_us: mean time between two looks of the whole zone
- * @random: 0 to 1
+ * @interval_us: mean time between two polls by any process of the zone
+ * @random: random number from 0 to 1
  *
- * Return: microseconds, uniform around @n times @interval_us.
+ * Return: microseconds, uniformly distributed from 0.5 to 1.5 times @n times
+ * @interval_us.
  */
-uint64_t pgw_watch_floor_us(size_t n, uint64_t interval_us, double random);
+uint64_t pgw_watch_poll_pause_us(size_t n, uint64_t interval_us,
+                                 double random);
 
 /**
  * pgw_watch_backoff_us() - pause after failed calls
- * @failures: failures in a row, at least 1
+ * @failures: consecutive failures, at least 1
  * @limit_us: longest pause
- * @random: 0 to 1
+ * @random: random number from 0 to 1
  *
- * Return: microseconds; doubles from 0.2 s up to @limit_us, jittered over
- * its whole upper half.
+ * Return: microseconds; the bound doubles from 0.2 s up to @limit_us, and the
+ * jitter covers the upper half of the bound.
  */
 uint64_t pgw_watch_backoff_us(unsigned failures, uint64_t limit_us,
                               double random);
 
 /**
- * struct pgw_watch_batch - what one call to the store brought
+ * struct pgw_watch_batch - result of one call to the store
  * @kind: kind of the objects
- * @whole: a list: objects that are missing from it do not exist
- * @list: the objects, or changes, and the collection's version
+ * @is_full_list: @list contains all objects of @kind, not only changes
+ * @list: the objects or changes, and the collection's version
  */
 struct pgw_watch_batch {
     const char *kind;
-    bool whole;
+    bool is_full_list;
     struct pgw_store_list list;
 };
 
 void pgw_watch_batch_free(struct pgw_watch_batch *batch);
 
 /**
- * pgw_watch_batch_apply() - apply a batch to a set, through a function
+ * pgw_watch_batch_apply() - pass the changes in a batch to a function
  * @batch: the batch
- * @set: the set
- * @func: receives each object that is newer than the set's, deleted ones
- *   with a NULL value; applies it to @set, by pgw_config_set_apply() or what
- *   calls it
- * @data: handed to @func
+ * @set: the local set
+ * @func: called for each object that is newer than the one in @set, with a
+ *   NULL value for a deleted object; applies it to @set, directly or
+ *   indirectly by pgw_config_set_apply()
+ * @data: passed to @func
  *
- * A whole list also says which objects of the set were deleted while nobody
- * watched: those it misses, unless they are newer than the list itself.
+ * For a full list, objects of @set that the list lacks are passed to @func as
+ * deleted, unless they are newer than the list.
  */
 void pgw_watch_batch_apply(const struct pgw_watch_batch *batch,
                            struct pgw_config_set *set,
@@ -95,21 +99,24 @@
 struct pgw_watch;
 
 /**
- * struct pgw_watch_options - how to watch
+ * struct pgw_watch_options - settings of a watch
  * @store: the store; must outlive the watch
  * @self: instance id of this process
- * @zone: its availability zone
+ * @zone: availability zone of this process
  * @kinds: NULL-terminated kinds; NULL: the four kinds of configuration
- * @on_batch: takes a batch over, on a thread of the watch: hand it to the
- *   thread that owns the set, release with pgw_watch_batch_free()
- * @data: handed to @on_batch
- * @wait_ms: longest wait of one watch call; also of pgw_watch_free()
- * @grace_us: time for peers to bring a first copy before the store is asked
- * @floor_us: see pgw_watch_floor_us()
- * @extra_us: how long a process that found missed changes goes on watching
- * @relist_us: time after which a watcher lists again to reconcile
- * @backoff_us: longest pause after failures
- * @call_us: time for one call beyond its wait
+ * @on_batch: receives ownership of a batch, on a thread of the watch; passes
+ *   it to the thread that owns the set; release with pgw_watch_batch_free()
+ * @data: passed to @on_batch
+ * @wait_ms: longest long poll of one watch call; pgw_watch_free() may block
+ *   as long
+ * @peer_grace_us: time for peers to send a first copy before the store is
+ *   called
+ * @poll_interval_us: mean time between two polls by any process of the zone
+ * @fallback_watch_us: time for which a process watches after its poll found a
+ *   change that peers did not send
+ * @relist_interval_us: time after which a watcher lists all objects again
+ * @max_backoff_us: longest pause after failed calls
+ * @call_timeout_us: timeout of one call, in addition to its long poll
  */
 struct pgw_watch_options {
     struct pgw_store *store;
@@ -119,54 +126,56 @@
     void (*on_batch)(void *data, struct pgw_watch_batch *batch);
     void *data;
     uint32_t wait_ms;
-    uint64_t grace_us;
-    uint64_t floor_us;
-    uint64_t extra_us;
-    uint64_t relist_us;
-    uint64_t backoff_us;
-    uint64_t call_us;
+    uint64_t peer_grace_us;
+    uint64_t poll_interval_us;
+    uint64_t fallback_watch_us;
+    uint64_t relist_interval_us;
+    uint64_t max_backoff_us;
+    uint64_t call_timeout_us;
 };
 
 #define PGW_WATCH_OPTIONS_INIT                                                \
     {                                                                         \
-        .wait_ms = 2000, .grace_us = 500000, .floor_us = 2000000,             \
-        .extra_us = 30000000, .relist_us = (uint64_t)3600 * 1000000,          \
-        .backoff_us = 10000000, .call_us = 10000000                           \
+        .wait_ms = 2000, .peer_grace_us = 500000,                             \
+        .poll_interval_us = 2000000, .fallback_watch_us = 30000000,           \
+        .relist_interval_us = (uint64_t)3600 * 1000000,                       \
+        .max_backoff_us = 10000000, .call_timeout_us = 10000000               \
     }
 
-/** pgw_watch_new() - start the threads, one a kind */
+/** pgw_watch_new() - start one thread per kind */
 struct pgw_watch *pgw_watch_new(const struct pgw_watch_options *options);
 
-/** pgw_watch_free() - stop and wait for the threads */
+/** pgw_watch_free() - stop and join the threads */
 void pgw_watch_free(struct pgw_watch *watch);
 
 /**
- * pgw_watch_set_peers() - who may watch in this zone, from membership
+ * pgw_watch_set_peers() - set the candidates for watcher in this zone
  * @watch: the watch
- * @peers: ids; copied
+ * @peers: instance ids from membership; not retained
  * @n: number of @peers
  *
- * Before the first call a process takes itself to be alone.
+ * Before the first call the process acts as a watcher.
  */
 void pgw_watch_set_peers(struct pgw_watch *watch, const char *const *peers,
                          size_t n);
 
 /**
- * pgw_watch_set_held() - highest version of a kind that this process holds
+ * pgw_watch_set_local_version() - set the highest local version of a kind
  *
- * Call after changes came from peers. While it is 0 for a kind, a process
- * that does not watch lists it from the store after the grace.
+ * Call after applying changes from peers. A process that is no watcher lists
+ * a kind from the store if its local version is still 0 after the grace
+ * period.
  */
-void pgw_watch_set_held(struct pgw_watch *watch, const char *kind,
-                        uint64_t version);
+void pgw_watch_set_local_version(struct pgw_watch *watch, const char *kind,
+                                 uint64_t version);
 
 /**
- * struct pgw_watch_state - for /readyz, metrics and logs
- * @reachable: the last call to the store was answered
- * @watching: chosen as a watcher, or watching for a while
- * @calls: calls made to the store
- * @failures: calls that failed
- * @last_error: why the last one failed; empty when @reachable
+ * struct pgw_watch_state - state for /readyz, metrics and logs
+ * @reachable: the last call to the store succeeded
+ * @watching: the process is a selected or fallback watcher
+ * @calls: number of calls to the store
+ * @failures: number of failed calls
+ * @last_error: error of the last call; empty when @reachable
  */
 struct pgw_watch_state {
     bool reachable;
--- a/src/entry/lost.c
+++ b/src/entry/lost.c
@@ -34,7 +34,7 @@
 {
     return exchange->format != FORMAT_SERVICE &&
            pgw_loss_is_candidate(&upstream->entry->loss, exchange->charge_us,
-                                 pgw_link_heard_us(upstream->link));
+                                 pgw_link_last_received_us(upstream->link));
 }
 
 static uint32_t
@@ -122,7 +122,7 @@
             pgw_container_of(link, struct upstream, asked);
 
         if (!upstream_can_talk(upstream) ||
-            pgw_link_heard_us(upstream->link) >= upstream->asked_us) {
+            pgw_link_last_received_us(upstream->link) >= upstream->asked_us) {
             pgw_list_remove(link);
         }
     }
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -162,7 +162,7 @@
     if (is_stream(exchange)) {
         send_event(exchange, text, data->data.len, NULL);
     }
-    forward_received(exchange, PGW_DATA_COST(data->data.len));
+    forward_received(exchange, PGW_DATA_WINDOW_COST(data->data.len));
 }
 
 void
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -108,7 +108,7 @@
 static void
 take_hello(struct upstream *upstream, const Pgw__Hello *hello)
 {
-    if (hello->protocol != PGW_PROTOCOL ||
+    if (hello->protocol != PGW_PROTOCOL_VERSION ||
         strcmp(hello->role, "sidecar") != 0 ||
         (!upstream->is_seed && strcmp(hello->instance, upstream->id) != 0)) {
         pgw_log_warning("hello_refused", "upstream=%s instance=%s role=%s",
@@ -229,7 +229,7 @@
     struct entry *entry = upstream->entry;
     Pgw__Hello hello = PGW__HELLO__INIT;
 
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = entry->settings->instance;
     hello.role = "entry";
     hello.zone = entry->settings->zone;
@@ -265,7 +265,7 @@
 static bool
 is_silent(const struct upstream *upstream)
 {
-    uint64_t heard = pgw_link_heard_us(upstream->link);
+    uint64_t heard = pgw_link_last_received_us(upstream->link);
     bool busy = !upstream->greeted || !pgw_list_is_empty(&upstream->attempts);
     bool waits = busy || upstream->asked_us > heard;
     uint64_t now = pgw_now_us();
@@ -287,7 +287,8 @@
 {
     if (!pgw_list_is_empty(&upstream->attempts) &&
         upstream_can_talk(upstream) &&
-        pgw_now_us() - pgw_link_sent_us(upstream->link) >= HEARTBEAT_US) {
+        pgw_now_us() - pgw_link_last_queued_us(upstream->link) >=
+            HEARTBEAT_US) {
         send_heartbeat(upstream);
     }
 }
@@ -314,7 +315,7 @@
     pgw_timer_start(
         upstream->entry->loop, timer,
         upstream->greeted && pgw_list_is_empty(&upstream->attempts) &&
-                upstream->asked_us <= pgw_link_heard_us(upstream->link)
+                upstream->asked_us <= pgw_link_last_received_us(upstream->link)
             ? SILENCE_CHECK_IDLE_US
             : SILENCE_CHECK_US);
 }
--- a/src/gateway/crashed_runs.c
+++ b/src/gateway/crashed_runs.c
@@ -2,7 +2,7 @@
 #include "util/log.h"
 #include <string.h>
 
-/* Items of one frame: some 32 bytes each, far below PGW_FRAME_MAX. */
+/* Items of one frame: some 32 bytes each, far below PGW_FRAME_MAX_SIZE. */
 #define ITEMS_MAX 1024
 
 static void
--- a/src/gateway/gossip.c
+++ b/src/gateway/gossip.c
@@ -12,7 +12,7 @@
 /* What changes within this time is announced together. */
 #define NEWS_US 150000
 /* A frame of copies is sent when it has so many bytes; with one more object of
- * the most that the store takes (1 MiB) it stays below PGW_FRAME_MAX. */
+ * the most that the store takes (1 MiB) it stays below PGW_FRAME_MAX_SIZE. */
 #define FRAME_BYTES ((size_t)1 << 20)
 /* Kinds of objects that are passed on. */
 #define KINDS_MAX 8
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -198,7 +198,7 @@
     if (upstream != NULL) {
         forget_reports(upstream);
         /* Its machine answers, so that its silence would say nothing. */
-        if (pgw_link_was_ended(link)) {
+        if (pgw_link_was_ended_by_peer(link)) {
             upstream->last_seen_us = 0;
         }
     }
@@ -222,7 +222,7 @@
     const struct pgw_gateway *gateway = guard->links->gateway;
     Pgw__Hello hello = PGW__HELLO__INIT;
 
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = (char *)pgw_gateway_instance(gateway);
     hello.role = (char *)"entry";
     hello.zone = (char *)pgw_gateway_zone(gateway);
--- a/src/libparsleygw/config_feed.c
+++ b/src/libparsleygw/config_feed.c
@@ -32,7 +32,7 @@
     /* A whole list would go four times over the links, object by object;
      * peers that lack some of it find out by their summaries. */
     if (!pgw_sync_offer(self->feed->options.sync, kind, name, version, value,
-                        !self->batch->whole, &error)) {
+                        !self->batch->is_full_list, &error)) {
         pgw_log_warning("config_refused", "kind=%s name=%s error=%s", kind,
                         name, error->message);
         g_clear_error(&error);
@@ -52,7 +52,7 @@
         pgw_suspects_offer(suspects, object->name, object->version, value,
                            value == NULL ? 0 : strlen(value));
     }
-    if (batch->whole) {
+    if (batch->is_full_list) {
         pgw_suspects_retain(suspects, &batch->list);
     }
 }
@@ -84,7 +84,7 @@
     else {
         pgw_watch_batch_apply(self->batch, self->feed->options.set, offer,
                               self);
-        if (self->batch->whole) {
+        if (self->batch->is_full_list) {
             note_listed(self->feed, self->batch->kind);
         }
     }
@@ -177,12 +177,13 @@
     pgw_config_set_foreach(feed->options.set, keep_highest, highest);
     g_hash_table_iter_init(&iter, highest);
     while (g_hash_table_iter_next(&iter, &kind, &held)) {
-        pgw_watch_set_held(feed->watch, kind, *(uint64_t *)held);
+        pgw_watch_set_local_version(feed->watch, kind, *(uint64_t *)held);
     }
     /* Sidecars tell all records when an entry connects, and mostly there is
      * none: a process without any need not ask the store. */
-    pgw_watch_set_held(feed->watch, PGW_QUARANTINE_KIND,
-                       MAX(1, pgw_suspects_version(feed->options.suspects)));
+    pgw_watch_set_local_version(
+        feed->watch, PGW_QUARANTINE_KIND,
+        MAX(1, pgw_suspects_version(feed->options.suspects)));
     g_hash_table_unref(highest);
 }
 
--- a/src/libparsleygw/frame.c
+++ b/src/libparsleygw/frame.c
@@ -38,31 +38,31 @@
     uint8_t *room;
 
     g_assert(message->descriptor == descriptors[type]);
-    room = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER);
+    room = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
     memcpy(room, &length, sizeof(length));
     room[sizeof(length)] = (uint8_t)type;
-    protobuf_c_message_pack(message, room + PGW_FRAME_HEADER);
-    out->end += size + PGW_FRAME_HEADER;
+    protobuf_c_message_pack(message, room + PGW_FRAME_HEADER_SIZE);
+    out->end += size + PGW_FRAME_HEADER_SIZE;
 }
 
 enum pgw_frame_result
-pgw_frame_take(enum pgw_frame_type *type, ProtobufCMessage **message,
-               struct pgw_buffer *in, GError **error)
+pgw_frame_decode(enum pgw_frame_type *type, ProtobufCMessage **message,
+                 struct pgw_buffer *in, GError **error)
 {
     const uint8_t *head = pgw_buffer_head(in);
     uint32_t length;
 
-    if (pgw_buffer_size(in) < PGW_FRAME_HEADER) {
-        return PGW_FRAME_MORE;
+    if (pgw_buffer_size(in) < PGW_FRAME_HEADER_SIZE) {
+        return PGW_FRAME_INCOMPLETE;
     }
     memcpy(&length, head, sizeof(length));
     length = ntohl(length);
-    if (length == 0 || length > PGW_FRAME_MAX) {
+    if (length == 0 || length > PGW_FRAME_MAX_SIZE) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
                     "frame of %u bytes, allowed are 1 to %zu: check that "
                     "the peer is a parsleygw process of this version",
-                    length, PGW_FRAME_MAX);
-        return PGW_FRAME_BROKEN;
+                    length, PGW_FRAME_MAX_SIZE);
+        return PGW_FRAME_INVALID;
     }
     *type = (enum pgw_frame_type)head[sizeof(length)];
     if (*type == 0 || *type >= PGW_FRAME_TYPE_COUNT) {
@@ -70,22 +70,22 @@
                     "frame of unknown type %u: check that the peer is a "
                     "parsleygw process of this version",
                     *type);
-        return PGW_FRAME_BROKEN;
+        return PGW_FRAME_INVALID;
     }
     if (pgw_buffer_size(in) < sizeof(length) + length) {
-        return PGW_FRAME_MORE;
+        return PGW_FRAME_INCOMPLETE;
     }
     *message = protobuf_c_message_unpack(descriptors[*type], NULL, length - 1,
-                                         head + PGW_FRAME_HEADER);
+                                         head + PGW_FRAME_HEADER_SIZE);
     if (*message == NULL) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
                     "frame of type %u does not decode: check that the peer "
                     "is a parsleygw process of this version",
                     *type);
-        return PGW_FRAME_BROKEN;
+        return PGW_FRAME_INVALID;
     }
     pgw_buffer_consume(in, sizeof(length) + length);
-    return PGW_FRAME_TAKEN;
+    return PGW_FRAME_DECODED;
 }
 
 void
--- a/src/libparsleygw/frame.h
+++ b/src/libparsleygw/frame.h
@@ -13,14 +13,14 @@
  */
 
 /* Version of the messages; processes of different ones do not talk. */
-#define PGW_PROTOCOL 1
-#define PGW_FRAME_HEADER 5
+#define PGW_PROTOCOL_VERSION 1
+#define PGW_FRAME_HEADER_SIZE 5
 /* What a Data frame of @size bytes takes from a window. The fixed part stands
  * for what a receiver makes of it (framing, JSON), so that many small tokens
  * cannot fill the memory of a slow caller's entry either. */
-#define PGW_DATA_COST(size) ((size_t)(size) + 192)
+#define PGW_DATA_WINDOW_COST(size) ((size_t)(size) + 192)
 /* Largest frame: a request body of the largest setting and its fields. */
-#define PGW_FRAME_MAX ((size_t)10 << 20)
+#define PGW_FRAME_MAX_SIZE ((size_t)10 << 20)
 
 enum pgw_frame_type {
     PGW_FRAME_HELLO = 1,
@@ -59,29 +59,29 @@
                       const ProtobufCMessage *message);
 
 /**
- * enum pgw_frame_result - outcome of pgw_frame_take()
- * @PGW_FRAME_MORE: the buffer holds no whole frame yet
- * @PGW_FRAME_TAKEN: one frame was decoded and consumed
- * @PGW_FRAME_BROKEN: the stream is not ours to read on; close the connection
+ * enum pgw_frame_result - outcome of pgw_frame_decode()
+ * @PGW_FRAME_INCOMPLETE: the buffer holds no whole frame yet
+ * @PGW_FRAME_DECODED: one frame was decoded and consumed
+ * @PGW_FRAME_INVALID: the stream is not ours to read on; close the connection
  */
 enum pgw_frame_result {
-    PGW_FRAME_MORE,
-    PGW_FRAME_TAKEN,
-    PGW_FRAME_BROKEN,
+    PGW_FRAME_INCOMPLETE,
+    PGW_FRAME_DECODED,
+    PGW_FRAME_INVALID,
 };
 
 /**
- * pgw_frame_take() - decode and consume the frame at the front of a buffer
+ * pgw_frame_decode() - decode and consume the frame at the front of a buffer
  * @type: receives the type
  * @message: receives the message; free it with pgw_frame_free()
  * @in: received bytes
- * @error: with %PGW_FRAME_BROKEN, %PGW_ERROR_PROTOCOL
+ * @error: with %PGW_FRAME_INVALID, %PGW_ERROR_PROTOCOL
  */
-enum pgw_frame_result pgw_frame_take(enum pgw_frame_type *type,
-                                     ProtobufCMessage **message,
-                                     struct pgw_buffer *in, GError **error);
+enum pgw_frame_result pgw_frame_decode(enum pgw_frame_type *type,
+                                       ProtobufCMessage **message,
+                                       struct pgw_buffer *in, GError **error);
 
-/** pgw_frame_free() - free a message from pgw_frame_take() */
+/** pgw_frame_free() - free a message from pgw_frame_decode() */
 void pgw_frame_free(ProtobufCMessage *message);
 
 #endif
--- a/src/libparsleygw/json_slice.c
+++ b/src/libparsleygw/json_slice.c
@@ -12,7 +12,7 @@
     return at;
 }
 
-/* @at is on the opening quote; returns the place after the closing one. */
+/* @at is the opening quote. Returns the position after the closing quote. */
 static const char *
 skip_string(const char *at, const char *end)
 {
@@ -24,7 +24,7 @@
     return at < end ? at + 1 : end;
 }
 
-/* The place after the value that starts at @at. */
+/* Returns the position after the value that starts at @at. */
 static const char *
 skip_value(const char *at, const char *end)
 {
@@ -58,7 +58,7 @@
 {
     const char *end = text + size;
     const char *at = skip_space(text, end);
-    size_t length = strlen(member);
+    size_t member_length = strlen(member);
 
     if (at == end || *at != '{') {
         return false;
@@ -68,7 +68,7 @@
         const char *name = at + 1;
 
         at = skip_string(at, end);
-        size_t found = (size_t)(at - name) - 1;
+        size_t name_length = (size_t)(at - name) - 1;
 
         at = skip_space(at, end);
         if (at == end || *at != ':') {
@@ -77,7 +77,8 @@
         at = skip_space(at + 1, end);
         *out = at;
         at = skip_value(at, end);
-        if (found == length && memcmp(name, member, length) == 0) {
+        if (name_length == member_length &&
+            memcmp(name, member, member_length) == 0) {
             *out_size = (size_t)(at - *out);
             return *out_size > 0;
         }
--- a/src/libparsleygw/json_slice.h
+++ b/src/libparsleygw/json_slice.h
@@ -5,11 +5,11 @@
 #include <stddef.h>
 
 /**
- * struct pgw_json__slice - cuts a JSON array into the texts of its elements
+ * struct pgw_json__slice - iterates over the texts of a JSON array's elements
  *
- * A list of 29,000 workspaces parsed at once as a tree of nodes takes more
- * than the 64 MB that a process may have. Cut into elements, each is parsed
- * and released by itself.
+ * Parsing a list of 29,000 workspaces into one tree of nodes takes more than
+ * the 64 MB that a process may use. With a slice, each element is parsed and
+ * released separately.
  */
 struct pgw_json__slice {
     const char *next;
@@ -18,27 +18,27 @@
 
 /**
  * pgw_json__slice_member() - text of one member of a top-level object
- * @out: receives where its value begins
- * @out_size: and its bytes
+ * @out: receives the start of the member's value, inside @text
+ * @out_size: receives the size of the value in bytes
  * @text: JSON text
- * @size: its bytes
+ * @size: size of @text in bytes
  * @member: name of the member; must need no escapes
  *
- * What the value holds is not looked at: it may be no valid JSON.
+ * The value is not validated and may be invalid JSON.
  *
- * Return: false when there is no such member.
+ * Return: false if there is no such member.
  */
 bool pgw_json__slice_member(const char **out, size_t *out_size,
                             const char *text, size_t size, const char *member);
 
 /**
  * pgw_json__slice_init() - find an array member of a top-level object
- * @slice: to be walked with pgw_json__slice_next()
+ * @slice: receives the array; iterate with pgw_json__slice_next()
  * @text: JSON text
- * @size: its bytes
+ * @size: size of @text in bytes
  * @member: name of the member; must need no escapes
  *
- * Return: false when there is no such array.
+ * Return: false if there is no such array.
  */
 bool pgw_json__slice_init(struct pgw_json__slice *slice, const char *text,
                           size_t size, const char *member);
--- a/src/libparsleygw/link.c
+++ b/src/libparsleygw/link.c
@@ -149,13 +149,13 @@
         ProtobufCMessage *message = NULL;
         GError *error = NULL;
 
-        switch (pgw_frame_take(&type, &message, &link->in, &error)) {
-        case PGW_FRAME_MORE:
+        switch (pgw_frame_decode(&type, &message, &link->in, &error)) {
+        case PGW_FRAME_INCOMPLETE:
             return;
-        case PGW_FRAME_BROKEN:
+        case PGW_FRAME_INVALID:
             link_break(link, error);
             return;
-        case PGW_FRAME_TAKEN:
+        case PGW_FRAME_DECODED:
             if (!link->ops->on_frame(link, type, message, link->context)) {
                 pgw_frame_free(message);
             }
@@ -316,7 +316,7 @@
 }
 
 size_t
-pgw_link_pending(const struct pgw_link *link)
+pgw_link_pending_bytes(const struct pgw_link *link)
 {
     int unsent = 0;
 
@@ -338,7 +338,7 @@
 }
 
 bool
-pgw_link_was_ended(const struct pgw_link *link)
+pgw_link_was_ended_by_peer(const struct pgw_link *link)
 {
     return link->ended;
 }
@@ -350,13 +350,13 @@
 }
 
 uint64_t
-pgw_link_heard_us(const struct pgw_link *link)
+pgw_link_last_received_us(const struct pgw_link *link)
 {
     return link->heard_us;
 }
 
 uint64_t
-pgw_link_sent_us(const struct pgw_link *link)
+pgw_link_last_queued_us(const struct pgw_link *link)
 {
     return link->sent_us;
 }
--- a/src/libparsleygw/link.h
+++ b/src/libparsleygw/link.h
@@ -9,9 +9,9 @@
  * DOC: One framed TCP connection between two of our processes
  *
  * A link lives on one loop's thread. Sending never blocks: frames queue in
- * memory, and who sends much watches pgw_link_pending(). A link that breaks
- * reports it once through @on_closed, from the loop and never from inside a
- * send, and is freed by the loop afterwards.
+ * memory, and who sends much watches pgw_link_pending_bytes(). A link that
+ * breaks reports it once through @on_closed, from the loop and never from
+ * inside a send, and is freed by the loop afterwards.
  */
 
 struct pgw_link;
@@ -55,25 +55,25 @@
 void pgw_link_send(struct pgw_link *link, enum pgw_frame_type type,
                    const ProtobufCMessage *message);
 
-/** pgw_link_pending() - bytes queued and not yet received by the peer */
-size_t pgw_link_pending(const struct pgw_link *link);
+/** pgw_link_pending_bytes() - bytes queued and not yet received by the peer */
+size_t pgw_link_pending_bytes(const struct pgw_link *link);
 
 /** pgw_link_was_refused() - the peer's machine answered that nobody listens
  * there; to be asked while the link's end is told */
 bool pgw_link_was_refused(const struct pgw_link *link);
 
-/** pgw_link_was_ended() - the peer's machine closed, reset or refused it, so
- * that machine answers; to be asked while the link's end is told */
-bool pgw_link_was_ended(const struct pgw_link *link);
+/** pgw_link_was_ended_by_peer() - the peer's machine closed, reset or refused
+ * it, so that machine answers; to be asked while the link's end is told */
+bool pgw_link_was_ended_by_peer(const struct pgw_link *link);
 
 /** pgw_link_is_open() - connected and not closing */
 bool pgw_link_is_open(const struct pgw_link *link);
 
-/** pgw_link_heard_us() - monotonic time of the last received byte */
-uint64_t pgw_link_heard_us(const struct pgw_link *link);
+/** pgw_link_last_received_us() - monotonic time of the last received byte */
+uint64_t pgw_link_last_received_us(const struct pgw_link *link);
 
-/** pgw_link_sent_us() - monotonic time of the last queued message */
-uint64_t pgw_link_sent_us(const struct pgw_link *link);
+/** pgw_link_last_queued_us() - monotonic time of the last queued message */
+uint64_t pgw_link_last_queued_us(const struct pgw_link *link);
 
 /** pgw_link_close() - close after @on_closed was called from the loop */
 void pgw_link_close(struct pgw_link *link);
--- a/src/libparsleygw/object_batch.c
+++ b/src/libparsleygw/object_batch.c
@@ -1,6 +1,6 @@
 #include "libparsleygw/object_batch.h"
 
-/* One frame of objects stays well below PGW_FRAME_MAX. */
+/* One frame of objects stays well below PGW_FRAME_MAX_SIZE. */
 #define FRAME_BYTES ((size_t)1 << 20)
 
 static void
--- a/src/libparsleygw/permit_store.c
+++ b/src/libparsleygw/permit_store.c
@@ -146,9 +146,9 @@
     struct pgw_store_object object;
     char *nonce = g_uuid_string_random();
     char *value = pgw_permit_table_format(table, nonce);
-    bool ok = pgw_store_put_settled(store, &object, PGW_PERMIT_KIND, scope,
-                                    table->version, value, nonce, deadline_us,
-                                    error);
+    bool ok = pgw_store_put_confirmed(store, &object, PGW_PERMIT_KIND, scope,
+                                      table->version, value, nonce,
+                                      deadline_us, error);
 
     if (ok) {
         table->version = object.version;
--- a/src/libparsleygw/store.c
+++ b/src/libparsleygw/store.c
@@ -1,17 +1,18 @@
-/* What all stores share: dispatch, release, settling of lost answers. */
+/* Common to all stores: dispatch, release, and writes confirmed by reading
+ * back. */
 #include "parsleygw/store.h"
 
 #include <string.h>
 
 #include "parsleygw/errors.h"
 
-#define FIRST_PAUSE_US 10000
+#define FIRST_BACKOFF_US 10000
 #ifdef PGW_DISABLE_STORE_OVERTAKEN
-#define PGW_STORE_OVERTAKEN_OFF 1
+#define OVERWRITE_CHECK_DISABLED 1
 #else
-#define PGW_STORE_OVERTAKEN_OFF 0
+#define OVERWRITE_CHECK_DISABLED 0
 #endif
-#define LAST_PAUSE_US 500000
+#define MAX_BACKOFF_US 500000
 
 void
 pgw_store_free(struct pgw_store *store)
@@ -99,8 +100,8 @@
     *instances = (struct pgw_store_instances){0};
 }
 
-/* One conditional write on its way to a settled outcome. */
-struct settle {
+/* One conditional write whose outcome is not confirmed yet. */
+struct confirmed_put {
     struct pgw_store *store;
     struct pgw_store_object *out;
     const char *kind;
@@ -109,148 +110,151 @@
     const char *value;
     const char *nonce;
     uint64_t deadline_us;
-    bool lost; /* the answer of an attempt was lost */
+    bool response_lost; /* of any attempt */
 };
 
-enum settle_step {
-    SETTLE_DONE,
-    SETTLE_FAILED,
-    SETTLE_WRITE,
-    SETTLE_READ,
+enum put_step {
+    PUT_STEP_DONE,
+    PUT_STEP_FAILED,
+    PUT_STEP_WRITE,
+    PUT_STEP_READ,
 };
 
 static bool
-is_own(const struct settle *settle)
+has_own_nonce(const struct confirmed_put *put)
 {
-    return settle->out->value != NULL &&
-           strstr(settle->out->value, settle->nonce) != NULL;
+    return put->out->value != NULL &&
+           strstr(put->out->value, put->nonce) != NULL;
 }
 
-/* The object is at another version than expected. */
-static enum settle_step
-settle_other_version(struct settle *settle, GError **error)
+/* Handles an object whose version is not the expected one. */
+static enum put_step
+handle_other_version(struct confirmed_put *put, GError **error)
 {
-    if (is_own(settle)) {
+    if (has_own_nonce(put)) {
         g_clear_error(error);
-        return SETTLE_DONE;
+        return PUT_STEP_DONE;
     }
-    /* Another writer may have built on the own value, so that a current
-     * value without the nonce proves nothing once an answer was lost.
-     * Reporting a conflict would make the caller repeat what took effect. */
+    /* After a lost response, a current value without the nonce proves
+     * nothing: the write may have taken effect and another writer may have
+     * replaced it. Reporting a conflict would make the caller repeat a write
+     * that took effect. */
     g_clear_error(error);
-    if (settle->lost && !PGW_STORE_OVERTAKEN_OFF) {
+    if (put->response_lost && !OVERWRITE_CHECK_DISABLED) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME,
-                    "%s/%s: the answer to the write was lost and another "
-                    "writer followed: read the object and start from there",
-                    settle->kind, settle->name);
-        return SETTLE_FAILED;
+                    "%s/%s: the response to the write was lost and another "
+                    "writer changed the object: read it and apply the "
+                    "change to its current value",
+                    put->kind, put->name);
+        return PUT_STEP_FAILED;
     }
-    g_set_error(
-        error, PGW_ERROR, PGW_ERROR_CONFLICT,
-        "%s/%s: version %" G_GUINT64_FORMAT " expected, %" G_GUINT64_FORMAT
-        " found: apply the change to the current value",
-        settle->kind, settle->name, settle->expected, settle->out->version);
-    return SETTLE_FAILED;
+    g_set_error(error, PGW_ERROR, PGW_ERROR_CONFLICT,
+                "%s/%s: version %" G_GUINT64_FORMAT
+                " expected, %" G_GUINT64_FORMAT
+                " found: apply the change to the current value",
+                put->kind, put->name, put->expected, put->out->version);
+    return PUT_STEP_FAILED;
 }
 
 static bool
-is_without_effect(const GError *error)
+had_no_effect(const GError *error)
 {
     return g_error_matches(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE) ||
            g_error_matches(error, PGW_ERROR, PGW_ERROR_OVERLOADED);
 }
 
-static enum settle_step
-settle_write(struct settle *settle, GError **error)
+static enum put_step
+write_object(struct confirmed_put *put, GError **error)
 {
-    pgw_store_object_dispose(settle->out);
-    if (pgw_store_put_if(settle->store, settle->out, settle->kind,
-                         settle->name, settle->expected, settle->value,
-                         settle->deadline_us, error)) {
-        return SETTLE_DONE;
+    pgw_store_object_dispose(put->out);
+    if (pgw_store_put_if(put->store, put->out, put->kind, put->name,
+                         put->expected, put->value, put->deadline_us, error)) {
+        return PUT_STEP_DONE;
     }
     if (g_error_matches(*error, PGW_ERROR, PGW_ERROR_CONFLICT)) {
-        return settle_other_version(settle, error);
+        return handle_other_version(put, error);
     }
-    if (is_without_effect(*error)) {
-        return settle->lost ? SETTLE_READ : SETTLE_WRITE;
+    if (had_no_effect(*error)) {
+        return put->response_lost ? PUT_STEP_READ : PUT_STEP_WRITE;
     }
     if (g_error_matches(*error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME)) {
-        settle->lost = true;
-        return SETTLE_READ;
+        put->response_lost = true;
+        return PUT_STEP_READ;
     }
-    return SETTLE_FAILED;
+    return PUT_STEP_FAILED;
 }
 
-static enum settle_step
-settle_read(struct settle *settle, GError **error)
+static enum put_step
+read_back(struct confirmed_put *put, GError **error)
 {
     bool found;
 
-    pgw_store_object_dispose(settle->out);
-    found = pgw_store_get(settle->store, settle->out, settle->kind,
-                          settle->name, settle->deadline_us, error);
+    pgw_store_object_dispose(put->out);
+    found = pgw_store_get(put->store, put->out, put->kind, put->name,
+                          put->deadline_us, error);
     if (!found && !g_error_matches(*error, PGW_ERROR, PGW_ERROR_NOT_FOUND)) {
-        return SETTLE_READ;
+        return PUT_STEP_READ;
     }
     g_clear_error(error);
-    if (settle->out->version == settle->expected) {
-        return SETTLE_WRITE;
+    if (put->out->version == put->expected) {
+        return PUT_STEP_WRITE;
     }
-    return settle_other_version(settle, error);
+    return handle_other_version(put, error);
 }
 
-/* Growing pauses with jitter: writers that met the same outage must not come
- * back in step. */
+/* Exponential backoff with jitter: writers that met the same outage must not
+ * retry at the same time. Returns false if the deadline would pass. */
 static bool
-settle_pause(const struct settle *settle, unsigned attempt)
+backoff_before_retry(const struct confirmed_put *put, unsigned attempt)
 {
-    gint64 limit =
-        MIN((gint64)FIRST_PAUSE_US << MIN(attempt, 8u), LAST_PAUSE_US);
-    gint64 pause = limit / 2 + g_random_int_range(0, (gint32)limit / 2);
+    gint64 bound_us =
+        MIN((gint64)FIRST_BACKOFF_US << MIN(attempt, 8u), MAX_BACKOFF_US);
+    gint64 pause_us =
+        bound_us / 2 + g_random_int_range(0, (gint32)bound_us / 2);
 
-    if (g_get_monotonic_time() + pause >= (gint64)settle->deadline_us) {
+    if (g_get_monotonic_time() + pause_us >= (gint64)put->deadline_us) {
         return false;
     }
-    g_usleep((gulong)pause);
+    g_usleep((gulong)pause_us);
     return true;
 }
 
 bool
-pgw_store_put_settled(struct pgw_store *store, struct pgw_store_object *out,
-                      const char *kind, const char *name, uint64_t expected,
-                      const char *value, const char *nonce,
-                      uint64_t deadline_us, GError **error)
+pgw_store_put_confirmed(struct pgw_store *store, struct pgw_store_object *out,
+                        const char *kind, const char *name, uint64_t expected,
+                        const char *value, const char *nonce,
+                        uint64_t deadline_us, GError **error)
 {
-    struct settle settle = {.store = store,
-                            .out = out,
-                            .kind = kind,
-                            .name = name,
-                            .expected = expected,
-                            .value = value,
-                            .nonce = nonce,
-                            .deadline_us = deadline_us};
-    enum settle_step step = SETTLE_WRITE;
+    struct confirmed_put put = {.store = store,
+                                .out = out,
+                                .kind = kind,
+                                .name = name,
+                                .expected = expected,
+                                .value = value,
+                                .nonce = nonce,
+                                .deadline_us = deadline_us};
+    enum put_step step = PUT_STEP_WRITE;
     GError *cause = NULL;
 
     *out = (struct pgw_store_object){0};
     for (unsigned attempt = 0;; attempt++) {
         g_clear_error(&cause);
-        step = step == SETTLE_WRITE ? settle_write(&settle, &cause)
-                                    : settle_read(&settle, &cause);
-        if (step == SETTLE_DONE || step == SETTLE_FAILED ||
-            !settle_pause(&settle, attempt)) {
+        step = step == PUT_STEP_WRITE ? write_object(&put, &cause)
+                                      : read_back(&put, &cause);
+        if (step == PUT_STEP_DONE || step == PUT_STEP_FAILED ||
+            !backoff_before_retry(&put, attempt)) {
             break;
         }
     }
-    if (step == SETTLE_DONE) {
+    if (step == PUT_STEP_DONE) {
         return true;
     }
-    if (step != SETTLE_FAILED && settle.lost) {
+    if (step != PUT_STEP_FAILED && put.response_lost) {
         g_clear_error(&cause);
         g_set_error(&cause, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME,
-                    "%s/%s: the answer to the write was lost and the store "
-                    "was not reached again in time: read the object later",
+                    "%s/%s: the response to the write was lost and the store "
+                    "was not reachable again before the deadline: read the "
+                    "object later",
                     kind, name);
     }
     g_propagate_error(error, cause);
--- a/src/libparsleygw/store_http.c
+++ b/src/libparsleygw/store_http.c
@@ -1,39 +1,39 @@
-/* The object API over libcurl. */
+/* Client of the object API, on top of libcurl. */
 #include <curl/curl.h>
 #include <pthread.h>
 #include <string.h>
 
 #include "parsleygw/errors.h"
 #include "parsleygw/store.h"
-#include "store_answer.h"
+#include "store_response.h"
 
 struct http_store {
     struct pgw_store base;
     char *url;
     uint32_t connect_timeout_ms;
     uint32_t max_idle;
-    size_t max_answer;
+    size_t max_response_bytes;
     pthread_mutex_t lock;
-    GQueue idle; /* CURL handles with their open connections */
+    GQueue idle; /* CURL handles with open connections */
 };
 
-/* One call: what is sent, what came back. */
+/* One HTTP call: its request and response. */
 struct call {
     struct http_store *store;
     CURL *curl;
     struct curl_slist *headers;
     const char *method;
-    char *what; /* "GET profile/name", for messages */
+    char *label; /* "GET /objects/pool/name", for error messages */
     const char *body;
     size_t body_size;
     size_t body_sent;
-    GString *answer;
-    bool too_large;
+    GString *response;
+    bool response_too_large;
     long status;
 };
 
 static CURL *
-take_handle(struct http_store *store)
+acquire_handle(struct http_store *store)
 {
     CURL *curl;
 
@@ -44,7 +44,7 @@
 }
 
 static void
-return_handle(struct http_store *store, CURL *curl)
+release_handle(struct http_store *store, CURL *curl)
 {
     bool kept = false;
 
@@ -61,20 +61,20 @@
 }
 
 static size_t
-take_answer(char *data, size_t size, size_t count, void *pointer)
+write_callback(char *data, size_t size, size_t count, void *pointer)
 {
     struct call *call = pointer;
 
-    if (call->answer->len + size * count > call->store->max_answer) {
-        call->too_large = true;
+    if (call->response->len + size * count > call->store->max_response_bytes) {
+        call->response_too_large = true;
         return 0;
     }
-    g_string_append_len(call->answer, data, (gssize)(size * count));
+    g_string_append_len(call->response, data, (gssize)(size * count));
     return size * count;
 }
 
 static size_t
-give_body(char *buffer, size_t size, size_t count, void *pointer)
+read_callback(char *buffer, size_t size, size_t count, void *pointer)
 {
     struct call *call = pointer;
     size_t n = MIN(size * count, call->body_size - call->body_sent);
@@ -100,9 +100,9 @@
     path = g_strdup_vprintf(format, arguments);
     va_end(arguments);
     *call = (struct call){.store = store, .method = method};
-    call->curl = take_handle(store);
-    call->answer = g_string_new(NULL);
-    call->what = g_strdup_printf("%s %s", method, path);
+    call->curl = acquire_handle(store);
+    call->response = g_string_new(NULL);
+    call->label = g_strdup_printf("%s %s", method, path);
     url = g_strconcat(store->url, path, NULL);
     curl_easy_setopt(call->curl, CURLOPT_URL, url);
     curl_easy_setopt(call->curl, CURLOPT_NOSIGNAL, 1L);
@@ -110,7 +110,7 @@
     curl_easy_setopt(call->curl, CURLOPT_CUSTOMREQUEST, method);
     curl_easy_setopt(call->curl, CURLOPT_CONNECTTIMEOUT_MS,
                      (long)store->connect_timeout_ms);
-    curl_easy_setopt(call->curl, CURLOPT_WRITEFUNCTION, take_answer);
+    curl_easy_setopt(call->curl, CURLOPT_WRITEFUNCTION, write_callback);
     curl_easy_setopt(call->curl, CURLOPT_WRITEDATA, call);
     g_free(url);
     g_free(path);
@@ -119,10 +119,10 @@
 static void
 call_dispose(struct call *call)
 {
-    return_handle(call->store, call->curl);
+    release_handle(call->store, call->curl);
     curl_slist_free_all(call->headers);
-    g_string_free(call->answer, TRUE);
-    g_free(call->what);
+    g_string_free(call->response, TRUE);
+    g_free(call->label);
 }
 
 static void
@@ -139,7 +139,7 @@
 
 #ifdef PGW_DISABLE_STORE_REPLAY
 static int
-rewind_body(void *pointer, curl_off_t offset, int origin)
+seek_callback(void *pointer, curl_off_t offset, int origin)
 {
     struct call *call = pointer;
 
@@ -148,21 +148,21 @@
 }
 #endif
 
-/* libcurl sends a request again by itself when a kept connection closes
- * before an answer. A conditional write that had taken effect would then come
- * back as a conflict with itself, and the operator would be told that
- * somebody else was first. The body is given by a function that cannot be
- * rewound, so libcurl has to report the lost answer. */
+/* libcurl resends a request if a reused connection closes before a response.
+ * A conditional write that has taken effect would then fail with a conflict
+ * caused by itself, and the operator would see a conflict with a writer that
+ * does not exist. A read callback without a seek callback cannot be rewound,
+ * so libcurl reports the lost response instead. */
 static void
 call_set_body(struct call *call, const char *body)
 {
     call->body = body;
     call->body_size = strlen(body);
     curl_easy_setopt(call->curl, CURLOPT_UPLOAD, 1L);
-    curl_easy_setopt(call->curl, CURLOPT_READFUNCTION, give_body);
+    curl_easy_setopt(call->curl, CURLOPT_READFUNCTION, read_callback);
     curl_easy_setopt(call->curl, CURLOPT_READDATA, call);
 #ifdef PGW_DISABLE_STORE_REPLAY
-    curl_easy_setopt(call->curl, CURLOPT_SEEKFUNCTION, rewind_body);
+    curl_easy_setopt(call->curl, CURLOPT_SEEKFUNCTION, seek_callback);
     curl_easy_setopt(call->curl, CURLOPT_SEEKDATA, call);
 #endif
     curl_easy_setopt(call->curl, CURLOPT_INFILESIZE_LARGE,
@@ -175,18 +175,19 @@
     return strcmp(call->method, "GET") != 0;
 }
 
-/* Nothing of a request leaves before the connection stands. */
+/* No byte of a request is sent before the connection is established. */
 static bool
 was_sent(struct call *call, CURLcode code)
 {
-    curl_off_t ready_us = 0;
+    curl_off_t pretransfer_us = 0;
 
     if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
         code == CURLE_URL_MALFORMAT) {
         return false;
     }
-    curl_easy_getinfo(call->curl, CURLINFO_PRETRANSFER_TIME_T, &ready_us);
-    return ready_us > 0;
+    curl_easy_getinfo(call->curl, CURLINFO_PRETRANSFER_TIME_T,
+                      &pretransfer_us);
+    return pretransfer_us > 0;
 }
 
 static void
@@ -194,45 +195,52 @@
 {
     const char *reason = curl_easy_strerror(code);
 
-    if (call->too_large) {
+    if (call->response_too_large) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_TOO_LARGE,
-                    "%s: answer over %zu bytes: split the collection",
-                    call->what, call->store->max_answer);
+                    "%s: response exceeds %zu bytes: split the collection",
+                    call->label, call->store->max_response_bytes);
     }
     else if (!was_sent(call, code)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                    "%s: %s: check the store's address and state", call->what,
+                    "%s: %s: check the store's address and state", call->label,
                     reason);
     }
     else if (is_write(call)) {
-        g_set_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME,
-                    "%s: %s: the change may have been made: read it back",
-                    call->what, reason);
+        g_set_error(
+            error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME,
+            "%s: %s: the change may have taken effect: read the object",
+            call->label, reason);
     }
     else if (code == CURLE_OPERATION_TIMEDOUT) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_TIMEOUT,
-                    "%s: no answer in time: try again later", call->what);
+                    "%s: no response before the deadline: try again later",
+                    call->label);
     }
     else {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                    "%s: %s: try again later", call->what, reason);
+                    "%s: %s: try again later", call->label, reason);
     }
 }
 
-/* Kinds and remedies by status; a status that is not here is unexpected. */
+/* Error code and message by HTTP status. Any other status is unexpected. */
 struct status_error {
     long status;
     enum pgw_error code;
-    const char *remedy;
+    const char *message;
 };
 
 static const struct status_error status_errors[] = {
     {404, PGW_ERROR_NOT_FOUND, "no such object: check kind and name"},
-    {409, PGW_ERROR_CONFLICT, "another writer was first: read and rebase"},
-    {410, PGW_ERROR_STALE, "the watch is too old: list again"},
-    {413, PGW_ERROR_TOO_LARGE, "value over the store's limit: split it"},
-    {429, PGW_ERROR_OVERLOADED, "over the store's rate limit: call less"},
-    {503, PGW_ERROR_UNAVAILABLE, "the store is down: try again later"},
+    {409, PGW_ERROR_CONFLICT,
+     "another writer changed the object first: read it and apply the "
+     "change to its current value"},
+    {410, PGW_ERROR_STALE,
+     "the store no longer has the changes after this version: list again"},
+    {413, PGW_ERROR_TOO_LARGE,
+     "value exceeds the store's size limit: split it"},
+    {429, PGW_ERROR_OVERLOADED,
+     "rate limit of the store exceeded: reduce the call rate"},
+    {503, PGW_ERROR_UNAVAILABLE, "the store is unavailable: try again later"},
 };
 
 static void
@@ -241,44 +249,45 @@
     for (size_t i = 0; i < G_N_ELEMENTS(status_errors); i++) {
         if (status_errors[i].status == call->status) {
             g_set_error(error, PGW_ERROR, (gint)status_errors[i].code,
-                        "%s: %s", call->what, status_errors[i].remedy);
+                        "%s: %s", call->label, status_errors[i].message);
             return;
         }
     }
     g_set_error(error, PGW_ERROR,
                 is_write(call) ? PGW_ERROR_UNKNOWN_OUTCOME
                                : PGW_ERROR_PROTOCOL,
-                "%s: status %ld: check that the address is the object API's",
-                call->what, call->status);
+                "%s: unexpected status %ld: check that the address is that of "
+                "the object API",
+                call->label, call->status);
 }
 
 static bool
-set_nonsense_error(struct call *call, GError **error)
+set_malformed_error(struct call *call, GError **error)
 {
-    g_set_error(error, PGW_ERROR,
-                is_write(call) ? PGW_ERROR_UNKNOWN_OUTCOME
-                               : PGW_ERROR_PROTOCOL,
-                "%s: answer makes no sense: check that the address is the "
-                "object API's",
-                call->what);
+    g_set_error(
+        error, PGW_ERROR,
+        is_write(call) ? PGW_ERROR_UNKNOWN_OUTCOME : PGW_ERROR_PROTOCOL,
+        "%s: malformed response: check that the address is that of the "
+        "object API",
+        call->label);
     return false;
 }
 
 static bool
 call_run(struct call *call, uint64_t deadline_us, GError **error)
 {
-    gint64 left_ms =
+    gint64 timeout_ms =
         ((gint64)deadline_us - g_get_monotonic_time() + 999) / 1000;
     CURLcode code;
 
-    if (left_ms <= 0) {
+    if (timeout_ms <= 0) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                    "%s: the deadline had passed before the call: allow more "
-                    "time",
-                    call->what);
+                    "%s: the deadline passed before the call: increase the "
+                    "timeout",
+                    call->label);
         return false;
     }
-    curl_easy_setopt(call->curl, CURLOPT_TIMEOUT_MS, (long)left_ms);
+    curl_easy_setopt(call->curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
     code = curl_easy_perform(call->curl);
     if (code != CURLE_OK) {
         set_transport_error(call, code, error);
@@ -309,9 +318,9 @@
     *out = (struct pgw_store_object){0};
     call_init(&call, http_store(store), "GET", "/objects/%s/%s", kind, name);
     ok = call_run(&call, deadline_us, error);
-    if (ok &&
-        !pgw_store__read_object(out, call.answer->str, call.answer->len)) {
-        ok = set_nonsense_error(&call, error);
+    if (ok && !pgw_store__parse_object(out, call.response->str,
+                                       call.response->len)) {
+        ok = set_malformed_error(&call, error);
     }
     call_dispose(&call);
     return ok;
@@ -324,9 +333,9 @@
     bool ok = call_run(call, deadline_us, error);
 
     *out = (struct pgw_store_list){0};
-    if (ok && !pgw_store__read_list(out, call->answer->str, call->answer->len,
-                                    member)) {
-        ok = set_nonsense_error(call, error);
+    if (ok && !pgw_store__parse_list(out, call->response->str,
+                                     call->response->len, member)) {
+        ok = set_malformed_error(call, error);
     }
     call_dispose(call);
     return ok;
@@ -369,9 +378,10 @@
     call_set_body(&call, value);
     ok = call_run(&call, deadline_us, error);
     if ((ok || call.status == 409) &&
-        !pgw_store__read_object(out, call.answer->str, call.answer->len)) {
+        !pgw_store__parse_object(out, call.response->str,
+                                 call.response->len)) {
         if (ok) {
-            ok = set_nonsense_error(&call, error);
+            ok = set_malformed_error(&call, error);
         }
     }
     call_dispose(&call);
@@ -388,7 +398,8 @@
     call_init(&call, http_store(store), "DELETE", "/objects/%s/%s", kind,
               name);
     call_set_condition(&call, expected);
-    /* No body to hold back here: a fresh connection is never retried. */
+    /* A request without a body has no read callback that could prevent the
+     * resend. libcurl never resends on a fresh connection. */
     curl_easy_setopt(call.curl, CURLOPT_FRESH_CONNECT, 1L);
     ok = call_run(&call, deadline_us, error);
     call_dispose(&call);
@@ -405,9 +416,9 @@
     *out = (struct pgw_store_instances){0};
     call_init(&call, http_store(store), "GET", "/instances");
     ok = call_run(&call, deadline_us, error);
-    if (ok &&
-        !pgw_store__read_instances(out, call.answer->str, call.answer->len)) {
-        ok = set_nonsense_error(&call, error);
+    if (ok && !pgw_store__parse_instances(out, call.response->str,
+                                          call.response->len)) {
+        ok = set_malformed_error(&call, error);
     }
     call_dispose(&call);
     return ok;
@@ -455,7 +466,7 @@
     *out = NULL;
     if (options->url == NULL || !g_str_has_prefix(options->url, "http://")) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_INVALID,
-                    "store: \"%s\" is no URL: give http://ip:port",
+                    "store: \"%s\" is not a URL: use http://ip:port",
                     options->url == NULL ? "" : options->url);
         return false;
     }
@@ -469,7 +480,7 @@
     }
     store->connect_timeout_ms = options->connect_timeout_ms;
     store->max_idle = options->max_idle;
-    store->max_answer = options->max_answer;
+    store->max_response_bytes = options->max_response_bytes;
     pthread_mutex_init(&store->lock, NULL);
     g_queue_init(&store->idle);
     *out = &store->base;
--- a/src/libparsleygw/store_answer.c
+++ b/src/libparsleygw/store_response.c
@@ -1,4 +1,4 @@
-#include "store_answer.h"
+#include "store_response.h"
 
 #include <string.h>
 
@@ -6,7 +6,7 @@
 #include "json_slice.h"
 
 static uint64_t
-read_version(JsonObject *object)
+parse_version(JsonObject *object)
 {
     gint64 version =
         json_object_get_int_member_with_default(object, "version", 0);
@@ -15,8 +15,8 @@
 }
 
 bool
-pgw_store__read_object(struct pgw_store_object *out, const char *text,
-                       size_t size)
+pgw_store__parse_object(struct pgw_store_object *out, const char *text,
+                        size_t size)
 {
     JsonNode *document =
         pgw_config__json_parse(text, (gssize)size, "answer", NULL);
@@ -30,7 +30,7 @@
     object = json_node_get_object(document);
     out->name = g_strdup(
         json_object_get_string_member_with_default(object, "name", ""));
-    out->version = read_version(object);
+    out->version = parse_version(object);
     out->deleted =
         json_object_get_boolean_member_with_default(object, "deleted", FALSE);
     value = json_object_get_member(object, "value");
@@ -41,30 +41,31 @@
     return true;
 }
 
-/* The collection's version stands outside the array; what is left of the
- * text without the array's elements is small. */
+/* The collection's version is outside the array. Parsing only the text around
+ * the array's elements keeps memory small. */
 static bool
-read_collection_version(uint64_t *out, const char *text, size_t size,
-                        const char *array, const char *array_end)
+parse_collection_version(uint64_t *out, const char *text, size_t size,
+                         const char *array, const char *array_end)
 {
-    GString *rest = g_string_new_len(text, array - text);
+    GString *without_elements = g_string_new_len(text, array - text);
     JsonNode *document;
 
-    g_string_append_len(rest, array_end, (gssize)(text + size - array_end));
-    document =
-        pgw_config__json_parse(rest->str, (gssize)rest->len, "answer", NULL);
-    g_string_free(rest, TRUE);
+    g_string_append_len(without_elements, array_end,
+                        (gssize)(text + size - array_end));
+    document = pgw_config__json_parse(
+        without_elements->str, (gssize)without_elements->len, "answer", NULL);
+    g_string_free(without_elements, TRUE);
     if (document == NULL) {
         return false;
     }
-    *out = read_version(json_node_get_object(document));
+    *out = parse_version(json_node_get_object(document));
     json_node_unref(document);
     return true;
 }
 
 bool
-pgw_store__read_list(struct pgw_store_list *out, const char *text, size_t size,
-                     const char *member)
+pgw_store__parse_list(struct pgw_store_list *out, const char *text,
+                      size_t size, const char *member)
 {
     GArray *objects =
         g_array_new(FALSE, FALSE, sizeof(struct pgw_store_object));
@@ -78,7 +79,7 @@
     ok = pgw_json__slice_init(&slice, text, size, member);
     array = slice.next;
     while (ok && pgw_json__slice_next(&slice, &element, &length)) {
-        ok = pgw_store__read_object(&object, element, length);
+        ok = pgw_store__parse_object(&object, element, length);
         if (ok) {
             g_array_append_val(objects, object);
         }
@@ -86,8 +87,8 @@
     *out = (struct pgw_store_list){.n = objects->len};
     out->objects =
         (struct pgw_store_object *)(void *)g_array_free(objects, FALSE);
-    ok = ok &&
-         read_collection_version(&out->version, text, size, array, slice.next);
+    ok = ok && parse_collection_version(&out->version, text, size, array,
+                                        slice.next);
     if (!ok) {
         pgw_store_list_dispose(out);
     }
@@ -95,8 +96,8 @@
 }
 
 bool
-pgw_store__read_instances(struct pgw_store_instances *out, const char *text,
-                          size_t size)
+pgw_store__parse_instances(struct pgw_store_instances *out, const char *text,
+                           size_t size)
 {
     JsonNode *document =
         pgw_config__json_parse(text, (gssize)size, "answer", NULL);
--- a/src/libparsleygw/store_worker.c
+++ b/src/libparsleygw/store_worker.c
@@ -17,7 +17,8 @@
     uint64_t timeout_us;
     void (*done)(void *context, const struct pgw_io_reply *reply);
     void *context;
-    void (*list_done)(void *context, const struct pgw_store_instances *list);
+    void (*instances_done)(void *context,
+                           const struct pgw_store_instances *list);
     struct pgw_store_object object;
     struct pgw_store_instances list;
     enum pgw_io_result result;
@@ -35,7 +36,7 @@
 }
 
 static void
-job_answer(struct pgw_task *task)
+job_complete(struct pgw_task *task)
 {
     struct job *job = pgw_container_of(task, struct job, task);
     struct pgw_io_reply reply = {
@@ -46,11 +47,11 @@
     };
 
     if (job->worker->stopping) {
-        /* Whoever asked is being freed. */
+        /* The owner of the context is being freed. */
     }
-    else if (job->list_done != NULL) {
-        job->list_done(job->context,
-                       job->result == PGW_IO_OK ? &job->list : NULL);
+    else if (job->instances_done != NULL) {
+        job->instances_done(job->context,
+                            job->result == PGW_IO_OK ? &job->list : NULL);
     }
     else {
         job->done(job->context, &reply);
@@ -59,7 +60,7 @@
 }
 
 static enum pgw_io_result
-result_from(const GError *error, bool changes)
+result_from_error(const GError *error, bool is_write)
 {
     switch (error->code) {
     case PGW_ERROR_NOT_FOUND:
@@ -73,8 +74,9 @@
     case PGW_ERROR_INVALID:
         return PGW_IO_UNAVAILABLE;
     default:
-        /* A change whose answer was lost may stand or may yet come to. */
-        return changes ? PGW_IO_UNKNOWN : PGW_IO_UNAVAILABLE;
+        /* A write whose response was lost may have taken effect or may do so
+         * later. */
+        return is_write ? PGW_IO_UNKNOWN : PGW_IO_UNAVAILABLE;
     }
 }
 
@@ -83,39 +85,41 @@
 {
     struct job *job = data;
     struct pgw_store_worker *worker = context;
-    uint64_t deadline = pgw_now_us() + job->timeout_us;
+    uint64_t deadline_us = pgw_now_us() + job->timeout_us;
     GError *error = NULL;
-    bool good = false;
+    bool ok = false;
 
     switch (job->io.kind) {
     case PGW_IO_READ:
-        good = pgw_store_get(worker->store, &job->object, job->kind, job->name,
-                             deadline, &error);
+        ok = pgw_store_get(worker->store, &job->object, job->kind, job->name,
+                           deadline_us, &error);
         break;
     case PGW_IO_WRITE:
-        good = pgw_store_put_if(worker->store, &job->object, job->kind,
-                                job->name, job->io.expected_version,
-                                job->io.value, deadline, &error);
+        ok = pgw_store_put_if(worker->store, &job->object, job->kind,
+                              job->name, job->io.expected_version,
+                              job->io.value, deadline_us, &error);
         break;
     case PGW_IO_DELETE:
-        good = pgw_store_delete_if(worker->store, job->kind, job->name,
-                                   job->io.expected_version, deadline, &error);
+        ok =
+            pgw_store_delete_if(worker->store, job->kind, job->name,
+                                job->io.expected_version, deadline_us, &error);
         break;
     case PGW_IO_NONE:
-        good =
-            pgw_store_instances(worker->store, &job->list, deadline, &error);
+        ok = pgw_store_instances(worker->store, &job->list, deadline_us,
+                                 &error);
         break;
     }
-    if (good) {
+    if (ok) {
         job->result = PGW_IO_OK;
     }
     else {
-        job->result = error == NULL
-                          ? PGW_IO_UNAVAILABLE
-                          : result_from(error, job->io.kind != PGW_IO_READ);
+        job->result =
+            error == NULL
+                ? PGW_IO_UNAVAILABLE
+                : result_from_error(error, job->io.kind != PGW_IO_READ);
         g_clear_error(&error);
     }
-    job->task.run = job_answer;
+    job->task.run = job_complete;
     pgw_loop_post(worker->loop, &job->task);
 }
 
@@ -175,7 +179,7 @@
 
     job->worker = worker;
     job->timeout_us = timeout_us;
-    job->list_done = done;
+    job->instances_done = done;
     job->context = context;
     g_thread_pool_push(worker->pool, job, NULL);
 }
--- a/src/libparsleygw/store_worker.h
+++ b/src/libparsleygw/store_worker.h
@@ -6,36 +6,36 @@
 #include "util/loop.h"
 
 /**
- * DOC: Store operations of a loop
+ * DOC: Asynchronous store calls for an event loop
  *
- * The store's client blocks; a few threads of this worker make its calls for
- * a loop, which gets each answer as a task.
+ * The store's client blocks. A worker makes its calls on a thread pool and
+ * delivers each result as a task on the loop.
  */
 
 struct pgw_store_worker;
 
-/** pgw_store_worker_new() - start up to @threads threads when needed */
+/** pgw_store_worker_new() - create a pool of up to @threads threads */
 struct pgw_store_worker *pgw_store_worker_new(struct pgw_store *store,
                                               struct pgw_loop *loop,
                                               unsigned threads);
 
 /**
- * pgw_store_worker_free() - wait for what is under way
+ * pgw_store_worker_free() - wait for calls in flight and release the worker
  *
- * The loop must not be running any more; answers that it has not seen are
- * dropped without a call.
+ * The loop must have stopped. Results that it has not processed are dropped
+ * without calling their callbacks.
  */
 void pgw_store_worker_free(struct pgw_store_worker *worker);
 
 /**
- * pgw_store_worker_submit() - make one operation
+ * pgw_store_worker_submit() - start one operation
  * @worker: the worker
  * @kind: kind of the object
  * @name: its name
- * @io: the operation; its value is taken over
- * @timeout_us: time for the call; after it the outcome counts as unknown
+ * @io: the operation; ownership of its value passes to the worker
+ * @timeout_us: timeout of the call; after it a change has unknown outcome
  * @done: called on the loop's thread
- * @context: handed to @done
+ * @context: passed to @done
  */
 void pgw_store_worker_submit(struct pgw_store_worker *worker, const char *kind,
                              const char *name, struct pgw_io *io,
@@ -45,11 +45,11 @@
                              void *context);
 
 /**
- * pgw_store_worker_list_instances() - read the platform's list
+ * pgw_store_worker_list_instances() - read the platform's list of instances
  * @worker: the worker
- * @timeout_us: time for the call
- * @done: called on the loop's thread; @list is NULL when there is none
- * @context: handed to @done
+ * @timeout_us: timeout of the call
+ * @done: called on the loop's thread; @list is NULL after a failure
+ * @context: passed to @done
  */
 void pgw_store_worker_list_instances(
     struct pgw_store_worker *worker, uint64_t timeout_us,
--- a/src/libparsleygw/sync.c
+++ b/src/libparsleygw/sync.c
@@ -420,7 +420,7 @@
         if (digest->n_objects > 0 && is_proof(digest->complete)) {
             atomic_store(&sync->settled, true);
         }
-        if (pgw_link_pending(link) < SYNC_TURN_PENDING) {
+        if (pgw_link_pending_bytes(link) < SYNC_TURN_PENDING) {
             pgw_sync_turn_end(&sync->turn, link);
         }
     }
@@ -464,8 +464,9 @@
     struct pgw_link *link;
 
     do {
-        size_t pending =
-            copies->current == NULL ? 0 : pgw_link_pending(copies->current);
+        size_t pending = copies->current == NULL
+                             ? 0
+                             : pgw_link_pending_bytes(copies->current);
 
         link = pgw_sync_copy_next(copies, pending, pgw_now_us());
         if (link != NULL) {
--- a/src/libparsleygw/watch.c
+++ b/src/libparsleygw/watch.c
@@ -1,4 +1,4 @@
-/* The threads that list and watch the store, one a kind. */
+/* Threads that list, watch and poll the store, one per kind. */
 #include "parsleygw/watch.h"
 
 #include <pthread.h>
@@ -8,31 +8,31 @@
 
 #define MAX_KINDS 8
 
-/* One kind's progress; used by its thread only, but for @held. */
+/* State of one kind. Only its own thread uses it, except @local_version. */
 struct watcher {
     struct pgw_watch *watch;
     const char *kind;
     pthread_t thread;
-    uint64_t held; /* guarded by the watch's lock */
-    bool listed;   /* all that is older than @cursor was read */
-    bool too_old;  /* the store keeps no changes from @cursor on */
+    uint64_t local_version; /* protected by the watch's lock */
+    bool is_listed;         /* everything up to @cursor was read */
+    bool cursor_expired;    /* the store lacks some changes after @cursor */
     uint64_t cursor;
-    gint64 listed_at;
-    gint64 extra_until; /* stands in for the chosen watchers until then */
-    gint64 look_at;     /* 0: no look is planned */
-    unsigned failures;
+    gint64 listed_at_us;
+    gint64 fallback_until_us; /* watches in place of the selected watchers */
+    gint64 poll_at_us;        /* 0: no poll is scheduled */
+    unsigned consecutive_failures;
 };
 
 struct pgw_watch {
     struct pgw_watch_options options;
     char *self;
     char *zone;
-    gint64 started_at;
-    pthread_mutex_t lock; /* guards all below */
+    gint64 started_at_us;
+    pthread_mutex_t lock; /* protects all members below */
     pthread_cond_t wake;
     bool stopping;
     bool peers_known;
-    bool mine;
+    bool is_selected;
     size_t n_peers;
     struct pgw_watch_state state;
     struct watcher watchers[MAX_KINDS];
@@ -43,38 +43,40 @@
     PGW_CONFIG_KIND_POOL, PGW_CONFIG_KIND_UPSTREAM, PGW_CONFIG_KIND_PROFILE,
     PGW_CONFIG_KIND_WORKSPACE, NULL};
 
-/* Waits until a time, a wake-up that changes the role, or the stop. */
+/* Waits until @until_us, or until the selection changes or the watch stops.
+ * Returns false when the watch stops. */
 static bool
-pause_until(struct pgw_watch *watch, gint64 until)
+wait_until(struct pgw_watch *watch, gint64 until_us)
 {
-    struct timespec limit = {.tv_sec = until / G_USEC_PER_SEC,
-                             .tv_nsec = until % G_USEC_PER_SEC * 1000};
-    bool was_mine;
-    bool go_on;
+    struct timespec limit = {.tv_sec = until_us / G_USEC_PER_SEC,
+                             .tv_nsec = until_us % G_USEC_PER_SEC * 1000};
+    bool was_selected;
+    bool keep_running;
 
     pthread_mutex_lock(&watch->lock);
-    was_mine = watch->mine;
-    while (!watch->stopping && watch->mine == was_mine &&
-           g_get_monotonic_time() < until) {
+    was_selected = watch->is_selected;
+    while (!watch->stopping && watch->is_selected == was_selected &&
+           g_get_monotonic_time() < until_us) {
         pthread_cond_timedwait(&watch->wake, &watch->lock, &limit);
     }
-    go_on = !watch->stopping;
+    keep_running = !watch->stopping;
     pthread_mutex_unlock(&watch->lock);
-    return go_on;
+    return keep_running;
 }
 
 static bool
-pause_for(struct pgw_watch *watch, uint64_t us)
+wait_for(struct pgw_watch *watch, uint64_t us)
 {
-    return pause_until(watch, g_get_monotonic_time() + (gint64)us);
+    return wait_until(watch, g_get_monotonic_time() + (gint64)us);
 }
 
 static void
-note_result(struct watcher *watcher, const GError *error)
+record_result(struct watcher *watcher, const GError *error)
 {
     struct pgw_watch *watch = watcher->watch;
 
-    watcher->failures = error == NULL ? 0 : watcher->failures + 1;
+    watcher->consecutive_failures =
+        error == NULL ? 0 : watcher->consecutive_failures + 1;
     pthread_mutex_lock(&watch->lock);
     watch->state.calls++;
     watch->state.failures += error != NULL;
@@ -85,17 +87,18 @@
 }
 
 static void
-hand_over(struct watcher *watcher, struct pgw_store_list *list, bool whole)
+deliver_batch(struct watcher *watcher, struct pgw_store_list *list,
+              bool is_full_list)
 {
     struct pgw_watch_batch *batch;
 
-    if (list->n == 0 && !whole) {
+    if (list->n == 0 && !is_full_list) {
         pgw_store_list_dispose(list);
         return;
     }
     batch = g_new0(struct pgw_watch_batch, 1);
     batch->kind = watcher->kind;
-    batch->whole = whole;
+    batch->is_full_list = is_full_list;
     batch->list = *list;
     watcher->watch->options.on_batch(watcher->watch->options.data, batch);
 }
@@ -109,22 +112,24 @@
     gint64 now = g_get_monotonic_time();
     bool ok;
 
-    ok = pgw_store_list(watch->options.store, &list, watcher->kind,
-                        (uint64_t)now + watch->options.call_us, &error);
-    note_result(watcher, error);
+    ok =
+        pgw_store_list(watch->options.store, &list, watcher->kind,
+                       (uint64_t)now + watch->options.call_timeout_us, &error);
+    record_result(watcher, error);
     g_clear_error(&error);
     if (!ok) {
         return false;
     }
-    watcher->listed = true;
-    watcher->too_old = false;
-    watcher->listed_at = now;
+    watcher->is_listed = true;
+    watcher->cursor_expired = false;
+    watcher->listed_at_us = now;
     watcher->cursor = list.version;
-    hand_over(watcher, &list, true);
+    deliver_batch(watcher, &list, true);
     return true;
 }
 
-/* One watch call. @found receives whether it brought changes. */
+/* Makes one watch call. @found receives whether there were changes, including
+ * changes that the store no longer has. */
 static bool
 watch_once(struct watcher *watcher, uint64_t after, uint32_t wait_ms,
            bool *found)
@@ -132,35 +137,36 @@
     struct pgw_watch *watch = watcher->watch;
     struct pgw_store_list changes;
     GError *error = NULL;
-    uint64_t limit = watch->options.call_us + (uint64_t)wait_ms * 1000;
-    bool too_old;
+    uint64_t timeout_us =
+        watch->options.call_timeout_us + (uint64_t)wait_ms * 1000;
+    bool expired;
     bool ok;
 
-    ok = pgw_store_watch(watch->options.store, &changes, watcher->kind, after,
-                         wait_ms, (uint64_t)g_get_monotonic_time() + limit,
-                         &error);
-    too_old = g_error_matches(error, PGW_ERROR, PGW_ERROR_STALE);
-    note_result(watcher, too_old ? NULL : error);
+    ok = pgw_store_watch(
+        watch->options.store, &changes, watcher->kind, after, wait_ms,
+        (uint64_t)g_get_monotonic_time() + timeout_us, &error);
+    expired = g_error_matches(error, PGW_ERROR, PGW_ERROR_STALE);
+    record_result(watcher, expired ? NULL : error);
     g_clear_error(&error);
-    *found = too_old || (ok && changes.n > 0);
-    watcher->too_old = too_old;
-    if (too_old) {
+    *found = expired || (ok && changes.n > 0);
+    watcher->cursor_expired = expired;
+    if (expired) {
         return true;
     }
     if (ok) {
-        /* A store that answers from the past names an older version: going
-         * back with it would only fetch again what is already held. */
+        /* A store that serves stale reads returns an older version. Moving
+         * the cursor back would fetch known changes again. */
         watcher->cursor = MAX(after, changes.version);
-        hand_over(watcher, &changes, false);
+        deliver_batch(watcher, &changes, false);
     }
     return ok;
 }
 
 struct role {
-    bool chosen; /* by the rule, or nobody else is known */
-    bool extra;
+    bool is_selected; /* by rendezvous hashing, or no peers are known yet */
+    bool is_fallback;
     size_t n_peers;
-    uint64_t held;
+    uint64_t local_version;
 };
 
 static struct role
@@ -170,89 +176,94 @@
     struct role role;
 
     pthread_mutex_lock(&watch->lock);
-    role = (struct role){.chosen = watch->mine || !watch->peers_known,
-                         .n_peers = watch->n_peers,
-                         .held = watcher->held};
+    role =
+        (struct role){.is_selected = watch->is_selected || !watch->peers_known,
+                      .n_peers = watch->n_peers,
+                      .local_version = watcher->local_version};
     pthread_mutex_unlock(&watch->lock);
-    role.extra = !role.chosen && g_get_monotonic_time() < watcher->extra_until;
+    role.is_fallback = !role.is_selected &&
+                       g_get_monotonic_time() < watcher->fallback_until_us;
     return role;
 }
 
-/* A new watcher lists first, although it may hold a recent copy: its copy
- * came from peers in any order, so that its highest version does not say that
- * it misses none before. */
+/* A new watcher lists first, even with a recent local copy. The copy came
+ * from peers in any order, so its highest version does not prove that it
+ * contains all earlier changes. */
 static bool
-step_chosen(struct watcher *watcher)
+step_selected(struct watcher *watcher)
 {
     const struct pgw_watch_options *options = &watcher->watch->options;
     gint64 now = g_get_monotonic_time();
     bool found;
 
-    if (!watcher->listed || watcher->too_old ||
-        now - watcher->listed_at > (gint64)options->relist_us) {
+    if (!watcher->is_listed || watcher->cursor_expired ||
+        now - watcher->listed_at_us > (gint64)options->relist_interval_us) {
         return list_all(watcher);
     }
     return watch_once(watcher, watcher->cursor, options->wait_ms, &found);
 }
 
-/* One that stands in does without the list: it is there for what is new. */
+/* A fallback watcher does not list first: it serves new changes only. */
 static bool
-step_extra(struct watcher *watcher, const struct role *role)
+step_fallback(struct watcher *watcher, const struct role *role)
 {
     bool found;
 
-    watcher->listed = false;
-    if (watcher->too_old) {
+    watcher->is_listed = false;
+    if (watcher->cursor_expired) {
         return list_all(watcher);
     }
-    return watch_once(watcher, MAX(watcher->cursor, role->held),
+    return watch_once(watcher, MAX(watcher->cursor, role->local_version),
                       watcher->watch->options.wait_ms, &found);
 }
 
-/* The look of a process that does not watch. Should all chosen watchers be
- * dead, cut off or stuck, a change would reach nobody of the zone: here
- * somebody finds it and watches in their place for a while. */
+/* Polls the store for changes that peers did not send. If all selected
+ * watchers have crashed, are partitioned or hang, no process of the zone
+ * receives a change. The process whose poll finds one watches in their place
+ * for a limited time. */
 static bool
-look(struct watcher *watcher, const struct role *role)
+poll_store(struct watcher *watcher, const struct role *role)
 {
     const struct pgw_watch_options *options = &watcher->watch->options;
     bool found = false;
 
-    if (role->held == 0) {
+    if (role->local_version == 0) {
         return list_all(watcher);
     }
 #ifndef PGW_DISABLE_WATCH_FLOOR
-    if (!watch_once(watcher, MAX(watcher->cursor, role->held), 0, &found)) {
+    if (!watch_once(watcher, MAX(watcher->cursor, role->local_version), 0,
+                    &found)) {
         return false;
     }
 #endif
     if (found) {
-        watcher->extra_until =
-            g_get_monotonic_time() + (gint64)options->extra_us;
+        watcher->fallback_until_us =
+            g_get_monotonic_time() + (gint64)options->fallback_watch_us;
     }
     return true;
 }
 
-/* Looks only after a pause, also at the start: a fleet that has its copy from
- * peers must not ask the store all at once to compare it. */
+/* Polls only after a pause, also at the start: processes that received their
+ * copy from peers would otherwise all call the store at once to verify it. */
 static bool
 step_idle(struct watcher *watcher, const struct role *role)
 {
     struct pgw_watch *watch = watcher->watch;
     gint64 now = g_get_monotonic_time();
-    uint64_t pause = pgw_watch_floor_us(role->n_peers, watch->options.floor_us,
-                                        g_random_double());
+    uint64_t pause_us = pgw_watch_poll_pause_us(
+        role->n_peers, watch->options.poll_interval_us, g_random_double());
 
-    watcher->listed = false;
-    if (watcher->look_at == 0) {
-        watcher->look_at = role->held == 0 ? now : now + (gint64)pause;
+    watcher->is_listed = false;
+    if (watcher->poll_at_us == 0) {
+        watcher->poll_at_us =
+            role->local_version == 0 ? now : now + (gint64)pause_us;
     }
-    if (now < watcher->look_at) {
-        pause_until(watch, watcher->look_at);
+    if (now < watcher->poll_at_us) {
+        wait_until(watch, watcher->poll_at_us);
         return true;
     }
-    watcher->look_at = now + (gint64)pause;
-    return look(watcher, role);
+    watcher->poll_at_us = now + (gint64)pause_us;
+    return poll_store(watcher, role);
 }
 
 static void
@@ -263,24 +274,24 @@
     pthread_mutex_unlock(&watch->lock);
 }
 
-/* Peers get time to bring a first copy: were the store asked at once, a fleet
- * that restarts together would ask it all at the same moment. */
+/* Gives peers time to send a first copy. Without it, processes that restart
+ * together would all call the store at the same moment. */
 static bool
-wait_grace(struct watcher *watcher)
+wait_for_peers(struct watcher *watcher)
 {
     struct pgw_watch *watch = watcher->watch;
-    uint64_t grace = watch->options.grace_us;
-    gint64 until = watch->started_at + (gint64)grace +
-                   (gint64)(g_random_double() * (double)grace);
-    bool go_on = true;
+    uint64_t grace_us = watch->options.peer_grace_us;
+    gint64 until_us = watch->started_at_us + (gint64)grace_us +
+                      (gint64)(g_random_double() * (double)grace_us);
+    bool keep_running = true;
 
 #ifdef PGW_DISABLE_WATCH_GRACE
-    until = 0;
+    until_us = 0;
 #endif
-    while (go_on && g_get_monotonic_time() < until) {
-        go_on = pause_until(watch, until);
+    while (keep_running && g_get_monotonic_time() < until_us) {
+        keep_running = wait_until(watch, until_us);
     }
-    return go_on;
+    return keep_running;
 }
 
 static void *
@@ -289,28 +300,29 @@
     struct watcher *watcher = data;
     struct pgw_watch *watch = watcher->watch;
     const struct pgw_watch_options *options = &watch->options;
-    bool go_on = wait_grace(watcher);
+    bool keep_running = wait_for_peers(watcher);
 
-    while (go_on) {
+    while (keep_running) {
         struct role role = current_role(watcher);
-        uint64_t pause = 0;
+        uint64_t pause_us = 0;
         bool ok;
 
-        set_watching(watch, role.chosen || role.extra);
-        if (role.chosen) {
-            ok = step_chosen(watcher);
+        set_watching(watch, role.is_selected || role.is_fallback);
+        if (role.is_selected) {
+            ok = step_selected(watcher);
         }
-        else if (role.extra) {
-            ok = step_extra(watcher, &role);
+        else if (role.is_fallback) {
+            ok = step_fallback(watcher, &role);
         }
         else {
             ok = step_idle(watcher, &role);
         }
         if (!ok) {
-            pause = pgw_watch_backoff_us(
-                watcher->failures, options->backoff_us, g_random_double());
+            pause_us = pgw_watch_backoff_us(watcher->consecutive_failures,
+                                            options->max_backoff_us,
+                                            g_random_double());
         }
-        go_on = pause_for(watch, pause);
+        keep_running = wait_for(watch, pause_us);
     }
     return NULL;
 }
@@ -326,7 +338,7 @@
     watch->options = *options;
     watch->self = g_strdup(options->self);
     watch->zone = g_strdup(options->zone);
-    watch->started_at = g_get_monotonic_time();
+    watch->started_at_us = g_get_monotonic_time();
     pthread_mutex_init(&watch->lock, NULL);
     pthread_condattr_init(&clock);
     pthread_condattr_setclock(&clock, CLOCK_MONOTONIC);
@@ -368,24 +380,26 @@
 pgw_watch_set_peers(struct pgw_watch *watch, const char *const *peers,
                     size_t n)
 {
-    bool mine = pgw_watch_is_mine(watch->self, peers, n, watch->zone,
-                                  PGW_WATCH_PER_ZONE);
+    bool is_selected = pgw_watch_is_selected(
+        watch->self, peers, n, watch->zone, PGW_WATCHERS_PER_ZONE);
 
     pthread_mutex_lock(&watch->lock);
     watch->peers_known = true;
     watch->n_peers = n;
-    watch->mine = mine;
+    watch->is_selected = is_selected;
     pthread_cond_broadcast(&watch->wake);
     pthread_mutex_unlock(&watch->lock);
 }
 
 void
-pgw_watch_set_held(struct pgw_watch *watch, const char *kind, uint64_t version)
+pgw_watch_set_local_version(struct pgw_watch *watch, const char *kind,
+                            uint64_t version)
 {
     pthread_mutex_lock(&watch->lock);
     for (size_t i = 0; i < watch->n_watchers; i++) {
         if (strcmp(watch->watchers[i].kind, kind) == 0) {
-            watch->watchers[i].held = MAX(watch->watchers[i].held, version);
+            watch->watchers[i].local_version =
+                MAX(watch->watchers[i].local_version, version);
         }
     }
     pthread_mutex_unlock(&watch->lock);
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -1,4 +1,4 @@
-/* Who watches, and how long to pause: pure rules. */
+/* Selection of watchers, pauses and applying of batches; no I/O. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -8,47 +8,47 @@
 #define BACKOFF_DOUBLINGS 16
 
 static uint64_t
-weight(const char *id, const char *zone)
+rendezvous_weight(const char *id, const char *zone)
 {
     return XXH3_64bits_withSeed(id, strlen(id),
                                 XXH3_64bits(zone, strlen(zone)));
 }
 
 bool
-pgw_watch_is_mine(const char *self, const char *const *peers, size_t n,
-                  const char *zone, unsigned k)
+pgw_watch_is_selected(const char *self, const char *const *peers, size_t n,
+                      const char *zone, unsigned k)
 {
-    uint64_t own = weight(self, zone);
-    unsigned better = 0;
-    bool listed = n == 0;
+    uint64_t own = rendezvous_weight(self, zone);
+    unsigned n_higher = 0;
+    bool is_candidate = n == 0;
 
-    for (size_t i = 0; i < n && better < k; i++) {
-        uint64_t other = weight(peers[i], zone);
+    for (size_t i = 0; i < n && n_higher < k; i++) {
+        uint64_t other = rendezvous_weight(peers[i], zone);
         int order = strcmp(peers[i], self);
 
-        listed |= order == 0;
+        is_candidate |= order == 0;
         if (order != 0 && (other > own || (other == own && order > 0))) {
-            better++;
+            n_higher++;
         }
     }
-    return listed && better < k;
+    return is_candidate && n_higher < k;
 }
 
 uint64_t
-pgw_watch_floor_us(size_t n, uint64_t interval_us, double random)
+pgw_watch_poll_pause_us(size_t n, uint64_t interval_us, double random)
 {
-    double mean = (double)MAX(n, 1) * (double)interval_us;
+    double mean_us = (double)MAX(n, 1) * (double)interval_us;
 
-    return (uint64_t)(mean * (0.5 + random));
+    return (uint64_t)(mean_us * (0.5 + random));
 }
 
 uint64_t
 pgw_watch_backoff_us(unsigned failures, uint64_t limit_us, double random)
 {
     unsigned doublings = MIN(MAX(failures, 1u) - 1, BACKOFF_DOUBLINGS);
-    uint64_t pause = MIN((uint64_t)FIRST_BACKOFF_US << doublings, limit_us);
+    uint64_t bound_us = MIN((uint64_t)FIRST_BACKOFF_US << doublings, limit_us);
 
-    return (uint64_t)((double)pause * (0.5 + 0.5 * random));
+    return (uint64_t)((double)bound_us * (0.5 + 0.5 * random));
 }
 
 void
@@ -61,8 +61,8 @@
     g_free(batch);
 }
 
-/* Objects of the set that a whole list misses, collected before any is
- * applied: applying changes the set that is being walked. */
+/* Objects of the set that a full list lacks. They are collected first because
+ * applying one changes the set during iteration. */
 struct missing {
     const struct pgw_watch_batch *batch;
     GHashTable *listed;
@@ -74,14 +74,14 @@
                 const char *value, void *data)
 {
     struct missing *missing = data;
-    bool is_younger = version > missing->batch->list.version;
+    bool is_newer = version > missing->batch->list.version;
 
-    /* A store that answers from the past misses objects younger than its
-     * answer; taking those as deleted would drop an accepted object. */
+    /* A stale list lacks objects that are newer than itself. Treating them as
+     * deleted would drop a committed object. */
 #ifdef PGW_DISABLE_WATCH_OLD_LIST
-    is_younger = false;
+    is_newer = false;
 #endif
-    if (value != NULL && !is_younger &&
+    if (value != NULL && !is_newer &&
         strcmp(kind, missing->batch->kind) == 0 &&
         !g_hash_table_contains(missing->listed, name)) {
         g_ptr_array_add(missing->names, g_strdup(name));
@@ -89,9 +89,9 @@
 }
 
 static void
-foreach_missing(const struct pgw_watch_batch *batch,
-                const struct pgw_config_set *set, pgw_config_object_func func,
-                void *data)
+delete_missing(const struct pgw_watch_batch *batch,
+               const struct pgw_config_set *set, pgw_config_object_func func,
+               void *data)
 {
     struct missing missing = {.batch = batch,
                               .listed =
@@ -104,20 +104,22 @@
     pgw_config_set_foreach(set, collect_missing, &missing);
     for (guint i = 0; i < missing.names->len; i++) {
         const char *name = missing.names->pdata[i];
-        uint64_t held = pgw_config_set_version(set, batch->kind, name);
+        uint64_t local_version =
+            pgw_config_set_version(set, batch->kind, name);
 
-        func(batch->kind, name, MAX(batch->list.version, held + 1), NULL,
-             data);
+        func(batch->kind, name, MAX(batch->list.version, local_version + 1),
+             NULL, data);
     }
     g_ptr_array_unref(missing.names);
     g_hash_table_unref(missing.listed);
 }
 
-/* A listed object that this program refused keeps its older form, which a
- * list's version must not turn into a deletion. */
+/* Whether the set contains every object of the list. An object that this
+ * process rejected keeps its older version. Marking the set as listed at the
+ * list's version would turn that into a deletion. */
 static bool
-is_complete(const struct pgw_watch_batch *batch,
-            const struct pgw_config_set *set)
+is_applied(const struct pgw_watch_batch *batch,
+           const struct pgw_config_set *set)
 {
     for (size_t i = 0; i < batch->list.n; i++) {
         const struct pgw_store_object *object = &batch->list.objects[i];
@@ -135,8 +137,8 @@
                       struct pgw_config_set *set, pgw_config_object_func func,
                       void *data)
 {
-    if (batch->whole) {
-        foreach_missing(batch, set, func, data);
+    if (batch->is_full_list) {
+        delete_missing(batch, set, func, data);
     }
     for (size_t i = 0; i < batch->list.n; i++) {
         const struct pgw_store_object *object = &batch->list.objects[i];
@@ -147,7 +149,7 @@
                  data);
         }
     }
-    if (batch->whole && is_complete(batch, set)) {
+    if (batch->is_full_list && is_applied(batch, set)) {
         pgw_config_set_listed(set, batch->kind, batch->list.version);
     }
 }
--- a/src/sidecar/peer.c
+++ b/src/sidecar/peer.c
@@ -31,7 +31,7 @@
     const struct sidecar *sidecar = peer->sidecar;
     Pgw__Hello hello = PGW__HELLO__INIT;
 
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = sidecar->settings->instance;
     hello.role = "sidecar";
     hello.zone = sidecar->settings->zone;
@@ -43,7 +43,7 @@
 static void
 peer_take_hello(struct peer *peer, const Pgw__Hello *hello)
 {
-    if (peer->instance != NULL || hello->protocol != PGW_PROTOCOL) {
+    if (peer->instance != NULL || hello->protocol != PGW_PROTOCOL_VERSION) {
         pgw_log_warning("hello_refused", "protocol=%u", hello->protocol);
         pgw_link_close(peer->connection);
         return;
@@ -141,7 +141,8 @@
 #endif
     /* One that never sends heartbeats is an older version. */
     return peer->has_heartbeat &&
-           now_us - MAX(pgw_link_heard_us(peer->connection), peer->busy_us) >
+           now_us - MAX(pgw_link_last_received_us(peer->connection),
+                        peer->busy_us) >
                PEER_SILENCE_US;
 }
 
--- a/src/sidecar/run.c
+++ b/src/sidecar/run.c
@@ -62,7 +62,7 @@
     message.data.len = size;
     message.token_index = token_index;
     message.token_count = token_count;
-    run->window -= (int64_t)PGW_DATA_COST(size);
+    run->window -= (int64_t)PGW_DATA_WINDOW_COST(size);
     run_send(run, PGW_FRAME_DATA, &message.base);
 }
 
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -197,7 +197,7 @@
     pgw_config_feed_trace(sidecar->feed, sidecar->trace);
     pgw_list_foreach (link, &sidecar->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, link);
-        uint64_t quiet = now - pgw_link_sent_us(peer->connection);
+        uint64_t quiet = now - pgw_link_last_queued_us(peer->connection);
         bool busy = g_hash_table_size(peer->runs) > 0;
 
         if (peer_is_silent(peer, now)) {
@@ -229,7 +229,7 @@
     pgw_list_foreach (link, &sidecar->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, link);
 
-        if (pgw_link_pending(peer->connection) > 0) {
+        if (pgw_link_pending_bytes(peer->connection) > 0) {
             return false;
         }
     }
--- a/tests/failure/fail_frames.c
+++ b/tests/failure/fail_frames.c
@@ -65,7 +65,7 @@
 {
     Pgw__Hello hello = PGW__HELLO__INIT;
 
-    hello.protocol = PGW_PROTOCOL;
+    hello.protocol = PGW_PROTOCOL_VERSION;
     hello.instance = (char *)fake->instance;
     hello.role = "sidecar";
     hello.zone = "a";
@@ -303,7 +303,7 @@
 
     data.request = open->request;
     data.attempt = open->attempt;
-    data.data.len = PGW_FRAME_MAX + 1;
+    data.data.len = PGW_FRAME_MAX_SIZE + 1;
     data.data.data = g_malloc0(data.data.len);
     pgw_link_send(fake->link, PGW_FRAME_DATA, &data.base);
     g_free(data.data.data);
--- a/tests/failure/fail_rollout.c
+++ b/tests/failure/fail_rollout.c
@@ -349,7 +349,7 @@
     static const char *const names[ENGINES] = {"up0", "up1", "up2", "up3"};
 
     for (unsigned i = 0; i < ENGINES; i++) {
-        if (!pgw_watch_is_mine(names[i], names, ENGINES, "a", 2)) {
+        if (!pgw_watch_is_selected(names[i], names, ENGINES, "a", 2)) {
             return i;
         }
     }
--- a/tests/failure/fail_sidecar_frames.c
+++ b/tests/failure/fail_sidecar_frames.c
@@ -123,14 +123,14 @@
                     (ssize_t)sizeof(http));
     assert_cut_off(end);
     end = entry_end_connect(sidecar);
-    entry_end_hello(end, PGW_PROTOCOL + 1);
+    entry_end_hello(end, PGW_PROTOCOL_VERSION + 1);
     assert_cut_off(end);
     end = entry_end_connect(sidecar);
     fill_open(&open, end, false);
     entry_end_send(end, PGW_FRAME_OPEN, &open.base);
     assert_cut_off(end);
     end = entry_end_greet(sidecar);
-    entry_end_hello(end, PGW_PROTOCOL);
+    entry_end_hello(end, PGW_PROTOCOL_VERSION);
     assert_cut_off(end);
     g_assert_cmpint(engine_requests(fleet), ==, 0);
     fleet_free(fleet);
--- a/tests/failure/harness_entry_end.c
+++ b/tests/failure/harness_entry_end.c
@@ -61,7 +61,7 @@
 {
     struct entry_end *end = entry_end_connect(sidecar);
 
-    entry_end_hello(end, PGW_PROTOCOL);
+    entry_end_hello(end, PGW_PROTOCOL_VERSION);
     return end;
 }
 
@@ -82,14 +82,14 @@
         GError *error = NULL;
         ssize_t got;
 
-        switch (pgw_frame_take(type, &message, &end->in, &error)) {
-        case PGW_FRAME_TAKEN:
+        switch (pgw_frame_decode(type, &message, &end->in, &error)) {
+        case PGW_FRAME_DECODED:
             if (wanted & (1u << *type)) {
                 return message;
             }
             pgw_frame_free(message);
             continue;
-        case PGW_FRAME_BROKEN:
+        case PGW_FRAME_INVALID:
             g_error("%s", error->message);
         default:
             break;
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -26,22 +26,22 @@
         ProtobufCMessage *message = NULL;
         GError *error = NULL;
 
-        result = pgw_frame_take(&type, &message, &in, &error);
-        g_assert_cmpint(result == PGW_FRAME_BROKEN, ==, error != NULL);
-        g_assert_cmpint(result == PGW_FRAME_TAKEN, ==, message != NULL);
-        if (result == PGW_FRAME_TAKEN) {
+        result = pgw_frame_decode(&type, &message, &in, &error);
+        g_assert_cmpint(result == PGW_FRAME_INVALID, ==, error != NULL);
+        g_assert_cmpint(result == PGW_FRAME_DECODED, ==, message != NULL);
+        if (result == PGW_FRAME_DECODED) {
             g_assert_cmpuint(pgw_buffer_size(&in), <, before);
             /* What was decoded can be sent on. */
             pgw_frame_append(&in, type, message);
-            in.end -=
-                protobuf_c_message_get_packed_size(message) + PGW_FRAME_HEADER;
+            in.end -= protobuf_c_message_get_packed_size(message) +
+                      PGW_FRAME_HEADER_SIZE;
             tally->taken++;
         }
-        tally->broken += result == PGW_FRAME_BROKEN;
-        tally->more += result == PGW_FRAME_MORE;
+        tally->broken += result == PGW_FRAME_INVALID;
+        tally->more += result == PGW_FRAME_INCOMPLETE;
         pgw_frame_free(message);
         g_clear_error(&error);
-    } while (result == PGW_FRAME_TAKEN);
+    } while (result == PGW_FRAME_DECODED);
     pgw_buffer_dispose(&in);
 }
 
--- a/tests/property/prop_config.cc
+++ b/tests/property/prop_config.cc
@@ -85,7 +85,7 @@
     auto state = state_at(history, version);
 
     batch->kind = PGW_CONFIG_KIND_WORKSPACE;
-    batch->whole = true;
+    batch->is_full_list = true;
     batch->list.objects = g_new0(struct pgw_store_object, state.size() + 1);
     for (const auto &entry : state) {
         batch->list.version =
--- a/tests/unit/test_frame.c
+++ b/tests/unit/test_frame.c
@@ -23,8 +23,8 @@
     ProtobufCMessage *message = NULL;
     GError *error = NULL;
 
-    g_assert_cmpint(pgw_frame_take(&type, &message, in, &error), ==,
-                    PGW_FRAME_TAKEN);
+    g_assert_cmpint(pgw_frame_decode(&type, &message, in, &error), ==,
+                    PGW_FRAME_DECODED);
     g_assert_no_error(error);
     g_assert_cmpint(type, ==, PGW_FRAME_CANCEL);
     g_assert_cmpuint(((Pgw__Cancel *)message)->attempt, ==, attempt);
@@ -47,8 +47,8 @@
         const uint8_t *head = pgw_buffer_head(&whole);
 
         pgw_buffer_append(&in, head, cut);
-        g_assert_cmpint(pgw_frame_take(&type, &message, &in, &error), ==,
-                        PGW_FRAME_MORE);
+        g_assert_cmpint(pgw_frame_decode(&type, &message, &in, &error), ==,
+                        PGW_FRAME_INCOMPLETE);
         g_assert_no_error(error);
         pgw_buffer_append(&in, head + cut, pgw_buffer_size(&whole) - cut);
         take_cancel(&in, 7);
@@ -68,8 +68,8 @@
     GError *error = NULL;
 
     pgw_buffer_append(&in, bytes, size);
-    g_assert_cmpint(pgw_frame_take(&type, &message, &in, &error), ==,
-                    PGW_FRAME_BROKEN);
+    g_assert_cmpint(pgw_frame_decode(&type, &message, &in, &error), ==,
+                    PGW_FRAME_INVALID);
     g_assert_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL);
     g_assert_null(message);
     g_clear_error(&error);
@@ -106,11 +106,11 @@
     ProtobufCMessage *message = NULL;
     GError *error = NULL;
 
-    data.data.len = PGW_FRAME_MAX - 64;
+    data.data.len = PGW_FRAME_MAX_SIZE - 64;
     data.data.data = g_malloc0(data.data.len);
     pgw_frame_append(&in, PGW_FRAME_DATA, &data.base);
-    g_assert_cmpint(pgw_frame_take(&type, &message, &in, &error), ==,
-                    PGW_FRAME_TAKEN);
+    g_assert_cmpint(pgw_frame_decode(&type, &message, &in, &error), ==,
+                    PGW_FRAME_DECODED);
     g_assert_cmpuint(((Pgw__Data *)message)->data.len, ==, data.data.len);
     /* The peak is not kept once the buffer is empty. */
     g_assert_cmpuint(in.capacity, ==, 0);
--- a/tests/unit/test_json_slice.c
+++ b/tests/unit/test_json_slice.c
@@ -38,8 +38,8 @@
     expect_member("{\"a\":", "a", NULL);
 }
 
-/* An element that is no valid JSON is cut out like the others, as long as its
- * quotes and brackets close. */
+/* An element that is invalid JSON is returned like the others, provided that
+ * its quotes and brackets are balanced. */
 static void
 test_elements(void)
 {
--- a/tests/unit/test_link.c
+++ b/tests/unit/test_link.c
@@ -182,7 +182,7 @@
         sent += size;
     }
     g_assert_false(pgw_link_is_open(fixture.client.link));
-    g_assert_cmpuint(pgw_link_pending(fixture.client.link), >, sent);
+    g_assert_cmpuint(pgw_link_pending_bytes(fixture.client.link), >, sent);
     pgw_loop_run(fixture.loop);
     g_assert_cmpuint(fixture.server.frames, ==, FRAMES);
     g_assert_cmpuint(fixture.server.bytes, ==, sent);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -1,4 +1,4 @@
-/* The client against standin-objects, a real process. */
+/* The HTTP client against standin-objects, a separate process. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -17,14 +17,14 @@
 };
 
 static uint64_t
-in_seconds(int seconds)
+deadline_after(int seconds)
 {
     return (uint64_t)g_get_monotonic_time() + (uint64_t)seconds * SECOND_US;
 }
 
-/* A test that aborts leaves no stand-in behind. */
+/* Kills the stand-in when the test aborts. */
 static void
-end_with_parent(gpointer data)
+die_with_parent(gpointer data)
 {
     (void)data;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -44,7 +44,7 @@
     FILE *stream;
 
     g_spawn_async_with_pipes(NULL, arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD,
-                             end_with_parent, NULL, &fixture->pid, NULL,
+                             die_with_parent, NULL, &fixture->pid, NULL,
                              &output, NULL, &error);
     g_assert_no_error(error);
     stream = fdopen(output, "r");
@@ -67,9 +67,9 @@
     g_free(fixture->url);
 }
 
-/* The control path answers as any object does: the name is its tail. */
+/* Posts a setting to the stand-in's control path. */
 static void
-order(struct fixture *fixture, const char *path, const char *body)
+post_control(struct fixture *fixture, const char *path, const char *body)
 {
     char *target = g_strdup_printf("%s%s", fixture->url, path);
     char *command[] = {"curl", "-s", "-S", "-d", (char *)body, target, NULL};
@@ -93,7 +93,7 @@
     uint64_t version;
 
     pgw_store_put_if(fixture->store, &out, "pool", name, expected, value,
-                     in_seconds(10), &error);
+                     deadline_after(10), &error);
     g_assert_no_error(error);
     version = out.version;
     pgw_store_object_dispose(&out);
@@ -116,25 +116,25 @@
     second = put(&fixture, "a", first, "{\"n\":2}");
     g_assert_cmpuint(second, >, first);
     g_assert_false(pgw_store_put_if(fixture.store, &object, "pool", "a", first,
-                                    "{\"n\":3}", in_seconds(10), &error));
+                                    "{\"n\":3}", deadline_after(10), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_CONFLICT);
     g_clear_error(&error);
     g_assert_cmpuint(object.version, ==, second);
     g_assert_cmpstr(object.value, ==, "{\"n\":2}");
     pgw_store_object_dispose(&object);
     put(&fixture, "b", 0, "{\"text\":\"]},{\\\"\"}");
-    g_assert_true(
-        pgw_store_list(fixture.store, &list, "pool", in_seconds(10), &error));
+    g_assert_true(pgw_store_list(fixture.store, &list, "pool",
+                                 deadline_after(10), &error));
     g_assert_no_error(error);
     g_assert_cmpuint(list.n, ==, 2);
     g_assert_cmpuint(list.version, ==, second + 1);
     pgw_store_list_dispose(&list);
     g_assert_false(pgw_store_get(fixture.store, &object, "pool", "c",
-                                 in_seconds(10), &error));
+                                 deadline_after(10), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_NOT_FOUND);
     g_clear_error(&error);
     g_assert_false(pgw_store_put_if(fixture.store, &object, "pool", "l", 0,
-                                    large, in_seconds(10), &error));
+                                    large, deadline_after(10), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_TOO_LARGE);
     g_clear_error(&error);
     g_free(large);
@@ -152,23 +152,23 @@
     fixture_init(&fixture);
     version = put(&fixture, "a", 0, "{}");
     g_assert_true(pgw_store_watch(fixture.store, &changes, "pool", version, 20,
-                                  in_seconds(10), &error));
+                                  deadline_after(10), &error));
     g_assert_cmpuint(changes.n, ==, 0);
     g_assert_cmpuint(changes.version, ==, version);
     pgw_store_list_dispose(&changes);
     g_assert_true(pgw_store_delete_if(fixture.store, "pool", "a", version,
-                                      in_seconds(10), &error));
+                                      deadline_after(10), &error));
     g_assert_no_error(error);
     g_assert_true(pgw_store_watch(fixture.store, &changes, "pool", version,
-                                  5000, in_seconds(10), &error));
+                                  5000, deadline_after(10), &error));
     g_assert_cmpuint(changes.n, ==, 1);
     g_assert_true(changes.objects[0].deleted);
     g_assert_cmpuint(changes.objects[0].version, ==, version + 1);
     pgw_store_list_dispose(&changes);
-    /* A store that answers from the past: the object is there again. */
-    order(&fixture, "_control", "{\"answer_old\":true,\"as_of\":1}");
+    /* A stale read of the store contains the deleted object again. */
+    post_control(&fixture, "_control", "{\"answer_old\":true,\"as_of\":1}");
     g_assert_true(pgw_store_list(fixture.store, &changes, "pool",
-                                 in_seconds(10), &error));
+                                 deadline_after(10), &error));
     g_assert_cmpuint(changes.n, ==, 1);
     g_assert_cmpuint(changes.version, ==, version);
     pgw_store_list_dispose(&changes);
@@ -184,21 +184,22 @@
 
     fixture_init(&fixture);
     put(&fixture, "a", 0, "{}");
-    order(&fixture, "_control", "{\"lose_answers\":1}");
-    /* The connection is a kept one: libcurl must not repeat the write. */
+    post_control(&fixture, "_control", "{\"lose_answers\":1}");
+    /* The connection is reused: libcurl must not resend the write. */
     g_assert_false(pgw_store_put_if(fixture.store, &object, "pool", "b", 0,
-                                    "{}", in_seconds(10), &error));
+                                    "{}", deadline_after(10), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME);
     g_clear_error(&error);
     g_assert_true(pgw_store_get(fixture.store, &object, "pool", "b",
-                                in_seconds(10), &error));
+                                deadline_after(10), &error));
     pgw_store_object_dispose(&object);
-    order(&fixture, "_control", "{\"outage\":true}");
+    post_control(&fixture, "_control", "{\"outage\":true}");
     g_assert_false(pgw_store_get(fixture.store, &object, "pool", "b",
-                                 in_seconds(10), &error));
+                                 deadline_after(10), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE);
     g_clear_error(&error);
-    order(&fixture, "_control", "{\"outage\":false,\"latency_ms\":5000}");
+    post_control(&fixture, "_control",
+                 "{\"outage\":false,\"latency_ms\":5000}");
     g_assert_false(pgw_store_get(fixture.store, &object, "pool", "b",
                                  (uint64_t)g_get_monotonic_time() + 50000,
                                  &error));
@@ -208,7 +209,7 @@
 }
 
 static void
-test_settled(void)
+test_confirmed_put(void)
 {
     struct fixture fixture;
     struct pgw_store_object object;
@@ -216,26 +217,26 @@
     uint64_t version;
 
     fixture_init(&fixture);
-    order(&fixture, "_control", "{\"lose_answers\":1}");
-    g_assert_true(pgw_store_put_settled(fixture.store, &object, "pool", "a", 0,
-                                        "{\"by\":\"n1\"}", "n1",
-                                        in_seconds(20), &error));
+    post_control(&fixture, "_control", "{\"lose_answers\":1}");
+    g_assert_true(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
+                                          0, "{\"by\":\"n1\"}", "n1",
+                                          deadline_after(20), &error));
     g_assert_no_error(error);
     version = object.version;
     g_assert_cmpuint(version, >, 0);
     pgw_store_object_dispose(&object);
 
-    /* Without a lost answer another writer's value is a plain conflict. */
-    g_assert_false(pgw_store_put_settled(fixture.store, &object, "pool", "a",
-                                         0, "{\"by\":\"n2\"}", "n2",
-                                         in_seconds(20), &error));
+    /* Without a lost response, another writer's value is a plain conflict. */
+    g_assert_false(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
+                                           0, "{\"by\":\"n2\"}", "n2",
+                                           deadline_after(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_CONFLICT);
     g_clear_error(&error);
     g_assert_cmpstr(object.value, ==, "{\"by\":\"n1\"}");
     pgw_store_object_dispose(&object);
 
-    order(&fixture, "_control", "{\"outage\":true}");
-    g_assert_false(pgw_store_put_settled(
+    post_control(&fixture, "_control", "{\"outage\":true}");
+    g_assert_false(pgw_store_put_confirmed(
         fixture.store, &object, "pool", "a", version, "{\"by\":\"n3\"}", "n3",
         (uint64_t)g_get_monotonic_time() + 100000, &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE);
@@ -244,19 +245,19 @@
     fixture_dispose(&fixture);
 }
 
-/* Fake: the first write takes effect, its answer is lost, another writer
- * follows before the read. */
-struct overtaken {
+/* A store where the first write takes effect, its response is lost, and
+ * another writer replaces the object before it is read back. */
+struct overwritten_store {
     struct pgw_store base;
     unsigned writes;
 };
 
 static bool
-overtaken_put_if(struct pgw_store *store, struct pgw_store_object *out,
-                 const char *kind, const char *name, uint64_t expected,
-                 const char *value, uint64_t deadline_us, GError **error)
+overwritten_put_if(struct pgw_store *store, struct pgw_store_object *out,
+                   const char *kind, const char *name, uint64_t expected,
+                   const char *value, uint64_t deadline_us, GError **error)
 {
-    struct overtaken *fake = (struct overtaken *)store;
+    struct overwritten_store *fake = (struct overwritten_store *)store;
 
     (void)kind;
     (void)name;
@@ -270,9 +271,9 @@
 }
 
 static bool
-overtaken_get(struct pgw_store *store, struct pgw_store_object *out,
-              const char *kind, const char *name, uint64_t deadline_us,
-              GError **error)
+overwritten_get(struct pgw_store *store, struct pgw_store_object *out,
+                const char *kind, const char *name, uint64_t deadline_us,
+                GError **error)
 {
     (void)store;
     (void)kind;
@@ -285,17 +286,17 @@
 }
 
 static void
-test_overtaken(void)
+test_overwritten_after_lost_response(void)
 {
-    static const struct pgw_store_ops ops = {.put_if = overtaken_put_if,
-                                             .get = overtaken_get};
-    struct overtaken fake = {.base.ops = &ops};
+    static const struct pgw_store_ops ops = {.put_if = overwritten_put_if,
+                                             .get = overwritten_get};
+    struct overwritten_store fake = {.base.ops = &ops};
     struct pgw_store_object object;
     GError *error = NULL;
 
-    g_assert_false(pgw_store_put_settled(&fake.base, &object, "pool", "a", 1,
-                                         "{\"by\":\"n1\"}", "n1",
-                                         in_seconds(20), &error));
+    g_assert_false(pgw_store_put_confirmed(&fake.base, &object, "pool", "a", 1,
+                                           "{\"by\":\"n1\"}", "n1",
+                                           deadline_after(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME);
     g_assert_cmpuint(fake.writes, ==, 1);
     g_clear_error(&error);
@@ -309,7 +310,8 @@
     g_test_add_func("/store/versions", test_versions);
     g_test_add_func("/store/watch", test_watch);
     g_test_add_func("/store/failures", test_failures);
-    g_test_add_func("/store/settled", test_settled);
-    g_test_add_func("/store/overtaken", test_overtaken);
+    g_test_add_func("/store/confirmed-put", test_confirmed_put);
+    g_test_add_func("/store/overwritten-after-lost-response",
+                    test_overwritten_after_lost_response);
     return g_test_run();
 }
--- a/tests/unit/test_watch.c
+++ b/tests/unit/test_watch.c
@@ -1,4 +1,4 @@
-/* The watch threads against a store in memory. */
+/* Watch threads with an in-memory store. */
 #include <pthread.h>
 #include <string.h>
 
@@ -6,19 +6,19 @@
 #include "parsleygw/watch.h"
 
 #define POOL "{\"model\":\"m\",\"version\":\"w1\"}"
-#define LIMIT_US (20 * G_USEC_PER_SEC)
+#define TIMEOUT_US (20 * G_USEC_PER_SEC)
 
-/* One object, "a", of kind pool. */
+/* A store with one object, "a", of kind pool. */
 struct memory_store {
     struct pgw_store base;
     pthread_mutex_t lock;
     pthread_cond_t changed;
     uint64_t version;
-    uint64_t oldest; /* watches from before are too old */
+    uint64_t oldest; /* a watch from an older version is stale */
     bool down;
-    unsigned lists;
-    unsigned watches;
-    struct pgw_config_set *set; /* the receiver, under the same lock */
+    unsigned list_calls;
+    unsigned watch_calls;
+    struct pgw_config_set *set; /* receives the batches; under @lock too */
     struct pgw_watch *watch;
 };
 
@@ -29,7 +29,8 @@
 }
 
 static void
-fill(struct memory_store *memory, struct pgw_store_list *out, uint64_t after)
+add_newer_object(struct memory_store *memory, struct pgw_store_list *out,
+                 uint64_t after)
 {
     *out = (struct pgw_store_list){.version = memory->version};
     if (memory->version > after) {
@@ -42,8 +43,8 @@
 }
 
 static bool
-answer(struct memory_store *memory, struct pgw_store_list *out, uint64_t after,
-       GError **error)
+reply(struct memory_store *memory, struct pgw_store_list *out, uint64_t after,
+      GError **error)
 {
     bool down = memory->down;
 
@@ -52,7 +53,7 @@
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE, "down");
     }
     else {
-        fill(memory, out, after);
+        add_newer_object(memory, out, after);
     }
     return !down;
 }
@@ -67,8 +68,8 @@
     (void)kind;
     (void)deadline_us;
     pthread_mutex_lock(&memory->lock);
-    memory->lists++;
-    ok = answer(memory, out, 0, error);
+    memory->list_calls++;
+    ok = reply(memory, out, 0, error);
     pthread_mutex_unlock(&memory->lock);
     return ok;
 }
@@ -94,7 +95,7 @@
     (void)kind;
     (void)deadline_us;
     pthread_mutex_lock(&memory->lock);
-    memory->watches++;
+    memory->watch_calls++;
     while (!memory->down && memory->version <= after &&
            pthread_cond_timedwait(&memory->changed, &memory->lock, &end) ==
                0) {
@@ -105,7 +106,7 @@
         ok = false;
     }
     else {
-        ok = answer(memory, out, after, error);
+        ok = reply(memory, out, after, error);
     }
     pthread_mutex_unlock(&memory->lock);
     return ok;
@@ -127,7 +128,7 @@
 }
 
 static void
-take_batch(void *data, struct pgw_watch_batch *batch)
+apply_batch(void *data, struct pgw_watch_batch *batch)
 {
     struct memory_store *memory = data;
 
@@ -151,12 +152,12 @@
     options->self = "self";
     options->zone = "z1";
     options->kinds = kinds;
-    options->on_batch = take_batch;
+    options->on_batch = apply_batch;
     options->data = memory;
     options->wait_ms = 20;
-    options->grace_us = 1000;
-    options->floor_us = 1000;
-    options->backoff_us = 300000;
+    options->peer_grace_us = 1000;
+    options->poll_interval_us = 1000;
+    options->max_backoff_us = 300000;
 }
 
 static void
@@ -179,9 +180,9 @@
 }
 
 static bool
-wait_version(struct memory_store *memory, uint64_t version)
+wait_for_version(struct memory_store *memory, uint64_t version)
 {
-    struct timespec end = time_limit(LIMIT_US);
+    struct timespec end = time_limit(TIMEOUT_US);
     bool reached;
 
     pthread_mutex_lock(&memory->lock);
@@ -211,49 +212,49 @@
     g_assert_false(state.reachable);
     g_assert_cmpstr(state.last_error, ==, "down");
     set_store(&memory, 5, false);
-    g_assert_true(wait_version(&memory, 5));
+    g_assert_true(wait_for_version(&memory, 5));
     set_store(&memory, 6, false);
-    g_assert_true(wait_version(&memory, 6));
+    g_assert_true(wait_for_version(&memory, 6));
     set_store(&memory, 7, true);
     set_store(&memory, 7, false);
-    g_assert_true(wait_version(&memory, 7));
-    g_assert_cmpuint(memory.lists, <, 20);
+    g_assert_true(wait_for_version(&memory, 7));
+    g_assert_cmpuint(memory.list_calls, <, 20);
     memory_dispose(&memory);
 }
 
-/* The chosen watchers of the zone are dead: nobody tells this process of
- * version 6, so it has to find it by itself. */
+/* The selected watchers of the zone have crashed, so no peer sends version 6.
+ * The process finds it by polling. */
 static void
-test_dead_watchers(void)
+test_crashed_watchers(void)
 {
     static const char *const peers[] = {"p1", "p2", "p3", "p4", "p5",
                                         "p6", "p7", "p8", "p9"};
     struct memory_store memory;
     struct pgw_watch_options options = PGW_WATCH_OPTIONS_INIT;
 
-    g_assert_false(pgw_watch_is_mine("self", peers, G_N_ELEMENTS(peers), "z1",
-                                     PGW_WATCH_PER_ZONE));
+    g_assert_false(pgw_watch_is_selected("self", peers, G_N_ELEMENTS(peers),
+                                         "z1", PGW_WATCHERS_PER_ZONE));
     memory_init(&memory, &options);
     apply("pool", "a", 5, POOL, &memory);
-    options.grace_us = 100000;
+    options.peer_grace_us = 100000;
     memory.watch = pgw_watch_new(&options);
     pgw_watch_set_peers(memory.watch, peers, G_N_ELEMENTS(peers));
-    pgw_watch_set_held(memory.watch, "pool", 5);
+    pgw_watch_set_local_version(memory.watch, "pool", 5);
     set_store(&memory, 6, false);
-    g_assert_true(wait_version(&memory, 6));
-    /* Meanwhile the store forgot the changes since then. */
+    g_assert_true(wait_for_version(&memory, 6));
+    /* The store no longer has the changes after version 6. */
     pthread_mutex_lock(&memory.lock);
     memory.oldest = 8;
     pthread_mutex_unlock(&memory.lock);
     set_store(&memory, 9, false);
-    g_assert_true(wait_version(&memory, 9));
+    g_assert_true(wait_for_version(&memory, 9));
     memory_dispose(&memory);
 }
 
-/* Everybody restarts together: before the grace is over nobody asks the
- * store, and afterwards only those that no peer gave a copy. */
+/* Processes that restart together must not all call the store at once: no
+ * call is made before the grace period has passed. */
 static void
-test_grace(void)
+test_grace_period(void)
 {
     static const char *const peers[] = {"self"};
     struct memory_store memory;
@@ -261,7 +262,7 @@
     struct pgw_watch_state state;
 
     memory_init(&memory, &options);
-    options.grace_us = (uint64_t)3600 * G_USEC_PER_SEC;
+    options.peer_grace_us = (uint64_t)3600 * G_USEC_PER_SEC;
     memory.watch = pgw_watch_new(&options);
     pgw_watch_set_peers(memory.watch, peers, G_N_ELEMENTS(peers));
     g_usleep(50000);
@@ -270,14 +271,15 @@
     memory_dispose(&memory);
 }
 
-/* Lists with nothing in them: deleted, unless the list is from the past. */
+/* An object that an empty list lacks is deleted, unless the list is older than
+ * the object. */
 static void
 test_missing_objects(void)
 {
     struct memory_store memory;
     struct pgw_watch_options options = PGW_WATCH_OPTIONS_INIT;
     struct pgw_watch_batch batch = {
-        .kind = "pool", .whole = true, .list.version = 4};
+        .kind = "pool", .is_full_list = true, .list.version = 4};
 
     memory_init(&memory, &options);
     apply("pool", "a", 5, POOL, &memory);
@@ -297,15 +299,16 @@
     unsigned watchers = 0;
 
     for (size_t i = 0; i < G_N_ELEMENTS(peers); i++) {
-        watchers +=
-            pgw_watch_is_mine(peers[i], peers, G_N_ELEMENTS(peers), "z1", 2);
+        watchers += pgw_watch_is_selected(peers[i], peers, G_N_ELEMENTS(peers),
+                                          "z1", 2);
     }
     g_assert_cmpuint(watchers, ==, 2);
-    g_assert_true(pgw_watch_is_mine("self", NULL, 0, "z1", 2));
-    g_assert_false(pgw_watch_is_mine("self", peers, 1, "z1", 2));
+    g_assert_true(pgw_watch_is_selected("self", NULL, 0, "z1", 2));
+    g_assert_false(pgw_watch_is_selected("self", peers, 1, "z1", 2));
     g_assert_cmpuint(pgw_watch_backoff_us(1, 10000000, 0), ==, 100000);
     g_assert_cmpuint(pgw_watch_backoff_us(1000, 10000000, 1), ==, 10000000);
-    g_assert_cmpuint(pgw_watch_floor_us(3000, 2000000, 0.5), ==, 6000000000);
+    g_assert_cmpuint(pgw_watch_poll_pause_us(3000, 2000000, 0.5), ==,
+                     6000000000);
 }
 
 int
@@ -313,8 +316,8 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/watch/watcher", test_watcher);
-    g_test_add_func("/watch/dead_watchers", test_dead_watchers);
-    g_test_add_func("/watch/grace", test_grace);
+    g_test_add_func("/watch/crashed_watchers", test_crashed_watchers);
+    g_test_add_func("/watch/grace_period", test_grace_period);
     g_test_add_func("/watch/missing_objects", test_missing_objects);
     g_test_add_func("/watch/rules", test_rules);
     return g_test_run();
