--- a/src/libparsleygw/frame.c
+++ b/src/libparsleygw/frame.c
@@ -35,13 +35,13 @@
 {
     size_t size = protobuf_c_message_get_packed_size(message);
     uint32_t length = htonl((uint32_t)size + 1);
-    uint8_t *room;
+    uint8_t *frame;
 
     g_assert(message->descriptor == descriptors[type]);
-    room = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
-    memcpy(room, &length, sizeof(length));
-    room[sizeof(length)] = (uint8_t)type;
-    protobuf_c_message_pack(message, room + PGW_FRAME_HEADER_SIZE);
+    frame = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
+    memcpy(frame, &length, sizeof(length));
+    frame[sizeof(length)] = (uint8_t)type;
+    protobuf_c_message_pack(message, frame + PGW_FRAME_HEADER_SIZE);
     out->end += size + PGW_FRAME_HEADER_SIZE;
 }
 
@@ -59,8 +59,8 @@
     length = ntohl(length);
     if (length == 0 || length > PGW_FRAME_MAX_SIZE) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
-                    "frame of %u bytes, allowed are 1 to %zu: check that "
-                    "the peer is a parsleygw process of this version",
+                    "frame length of %u bytes is not between 1 and %zu: check "
+                    "that the peer is a parsleygw process of this version",
                     length, PGW_FRAME_MAX_SIZE);
         return PGW_FRAME_INVALID;
     }
@@ -79,7 +79,7 @@
                                          head + PGW_FRAME_HEADER_SIZE);
     if (*message == NULL) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
-                    "frame of type %u does not decode: check that the peer "
+                    "frame of type %u cannot be decoded: check that the peer "
                     "is a parsleygw process of this version",
                     *type);
         return PGW_FRAME_INVALID;
--- a/src/libparsleygw/link.c
+++ b/src/libparsleygw/link.c
@@ -12,8 +12,8 @@
 
 #define LINK_READ_SIZE 65536
 #define LISTEN_BACKLOG 512
-/* Unacknowledged data older than this breaks the connection: a peer whose
- * machine vanished sends no reset, and waiting writes would queue for ever. */
+/* Data that stays unacknowledged longer than this closes the connection. A
+ * peer whose host failed sends no reset, and writes would queue forever. */
 #define LINK_USER_TIMEOUT_MS 3000
 
 static struct pgw_metric_counter sent_bytes = {
@@ -26,28 +26,29 @@
 };
 
 struct pgw_link {
-    struct pgw_loop_fd watch;
-    struct pgw_task reap;
+    struct pgw_loop_fd loop_fd;
+    struct pgw_task close_task;
     struct pgw_loop *loop;
     const struct pgw_link_ops *ops;
     void *context;
     struct pgw_buffer in;
     struct pgw_buffer out;
-    uint64_t heard_us;
-    uint64_t sent_us;
+    uint64_t last_received_us;
+    uint64_t last_queued_us;
     GError *error;
     bool connecting;
-    bool refused; /* nobody listens at the address */
-    bool ended;   /* by the peer's machine, which said so */
+    bool was_refused;       /* no process listens at the address */
+    bool was_ended_by_peer; /* closed, reset or refused by the peer's host */
     bool closing;
     bool wants_write;
-    bool deaf; /* the peer takes nothing more; what it sent is still read */
+    bool send_failed; /* received frames are still read */
 };
 
 static void
-link_reap(struct pgw_task *task)
+link_finish_close(struct pgw_task *task)
 {
-    struct pgw_link *link = pgw_container_of(task, struct pgw_link, reap);
+    struct pgw_link *link =
+        pgw_container_of(task, struct pgw_link, close_task);
 
     link->ops->on_closed(link, link->error, link->context);
     g_clear_error(&link->error);
@@ -56,73 +57,75 @@
     g_free(link);
 }
 
-/* Takes @error. The owner hears of it from the loop, never from inside its
- * own call: a send from the middle of a table walk must not change it. */
+/* Closes the socket and takes ownership of @error. The owner is notified from
+ * the loop, never from inside its own call: it may be sending while it
+ * iterates over a table that @on_closed changes. */
 static void
-link_break(struct pgw_link *link, GError *error)
+link_start_close(struct pgw_link *link, GError *error)
 {
     if (link->closing) {
         g_clear_error(&error);
         return;
     }
     link->closing = true;
-    /* The first sign of trouble says most. */
+    /* The first error is the most informative one. */
     if (link->error != NULL) {
         g_clear_error(&error);
     }
     else {
         link->error = error;
     }
-    pgw_loop_fd_remove(link->loop, &link->watch);
-    close(link->watch.fd);
-    link->reap.run = link_reap;
-    pgw_loop_post(link->loop, &link->reap);
+    pgw_loop_fd_remove(link->loop, &link->loop_fd);
+    close(link->loop_fd.fd);
+    link->close_task.run = link_finish_close;
+    pgw_loop_post(link->loop, &link->close_task);
 }
 
 static void
-link_break_errno(struct pgw_link *link, const char *what)
+link_close_with_errno(struct pgw_link *link, const char *operation)
 {
-    link->ended |=
+    link->was_ended_by_peer |=
         errno == ECONNRESET || errno == ECONNREFUSED || errno == EPIPE;
-    link_break(link, g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                                 "%s: %s: check that the peer runs and that "
-                                 "its address is right",
-                                 what, g_strerror(errno)));
+    link_start_close(link,
+                     g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
+                                 "%s: %s: check that the peer is running and "
+                                 "that its address is correct",
+                                 operation, g_strerror(errno)));
 }
 
 static void
-link_watch_write(struct pgw_link *link, bool wants_write)
+link_set_wants_write(struct pgw_link *link, bool wants_write)
 {
     if (wants_write != link->wants_write) {
         link->wants_write = wants_write;
-        pgw_loop_fd_modify(link->loop, &link->watch,
+        pgw_loop_fd_modify(link->loop, &link->loop_fd,
                            EPOLLIN | (wants_write ? EPOLLOUT : 0));
     }
 }
 
 /*
- * A peer that has sent its last frames and closed answers our next byte with
- * a reset. Breaking the link for that would throw away frames that have
- * arrived, among them the ends of answers, and callers would be told that the
- * outcome is unknown. So we only fall silent: reading on gives what is there
- * and then the end.
+ * Stops sending after a send error but keeps reading. A peer that has sent its
+ * last frames and closed resets the connection on the next byte from this
+ * side. Closing the link at once would drop received frames, among them final
+ * frames of responses, and their callers would get an unknown outcome. Reading
+ * returns the remaining frames and then the end of the stream.
  */
 static void
-link_fall_silent(struct pgw_link *link)
+link_stop_sending(struct pgw_link *link)
 {
-    link->deaf = true;
-    link->error =
-        g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                    "send: %s: check that the peer runs", g_strerror(errno));
+    link->send_failed = true;
+    link->error = g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
+                              "send: %s: check that the peer is running",
+                              g_strerror(errno));
     pgw_buffer_dispose(&link->out);
-    link_watch_write(link, false);
+    link_set_wants_write(link, false);
 }
 
 static void
 link_flush(struct pgw_link *link)
 {
     while (pgw_buffer_size(&link->out) > 0) {
-        ssize_t sent = send(link->watch.fd, pgw_buffer_head(&link->out),
+        ssize_t sent = send(link->loop_fd.fd, pgw_buffer_head(&link->out),
                             pgw_buffer_size(&link->out), MSG_NOSIGNAL);
 
         if (sent < 0 && errno == EINTR) {
@@ -132,17 +135,17 @@
             break;
         }
         if (sent < 0) {
-            link_fall_silent(link);
+            link_stop_sending(link);
             return;
         }
         pgw_metric_counter_add(&sent_bytes, (uint64_t)sent);
         pgw_buffer_consume(&link->out, (size_t)sent);
     }
-    link_watch_write(link, pgw_buffer_size(&link->out) > 0);
+    link_set_wants_write(link, pgw_buffer_size(&link->out) > 0);
 }
 
 static void
-link_deliver(struct pgw_link *link)
+link_dispatch_frames(struct pgw_link *link)
 {
     while (!link->closing) {
         enum pgw_frame_type type;
@@ -153,7 +156,7 @@
         case PGW_FRAME_INCOMPLETE:
             return;
         case PGW_FRAME_INVALID:
-            link_break(link, error);
+            link_start_close(link, error);
             return;
         case PGW_FRAME_DECODED:
             if (!link->ops->on_frame(link, type, message, link->context)) {
@@ -167,51 +170,52 @@
 static void
 link_read(struct pgw_link *link)
 {
-    ssize_t got;
+    ssize_t received;
 
     do {
-        uint8_t *room = pgw_buffer_reserve(&link->in, LINK_READ_SIZE);
+        uint8_t *buffer = pgw_buffer_reserve(&link->in, LINK_READ_SIZE);
 
-        got = recv(link->watch.fd, room, LINK_READ_SIZE, 0);
-    } while (got < 0 && errno == EINTR);
-    if (got < 0 && errno == EAGAIN) {
+        received = recv(link->loop_fd.fd, buffer, LINK_READ_SIZE, 0);
+    } while (received < 0 && errno == EINTR);
+    if (received < 0 && errno == EAGAIN) {
         return;
     }
-    if (got < 0) {
-        link_break_errno(link, "receive");
+    if (received < 0) {
+        link_close_with_errno(link, "receive");
         return;
     }
-    if (got == 0) {
-        link->ended = true;
-        link_break(link, g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
-                                     "the peer closed the connection"));
+    if (received == 0) {
+        link->was_ended_by_peer = true;
+        link_start_close(link, g_error_new(PGW_ERROR, PGW_ERROR_UNAVAILABLE,
+                                           "the peer closed the connection"));
         return;
     }
-    pgw_metric_counter_add(&received_bytes, (uint64_t)got);
-    link->in.end += (size_t)got;
-    link->heard_us = pgw_now_us();
-    link_deliver(link);
-    /* An idle link keeps no read buffer: thousands of them stay small. */
+    pgw_metric_counter_add(&received_bytes, (uint64_t)received);
+    link->in.end += (size_t)received;
+    link->last_received_us = pgw_now_us();
+    link_dispatch_frames(link);
+    /* An idle link keeps no read buffer, which saves memory with thousands of
+     * links. */
     if (!link->closing && pgw_buffer_size(&link->in) == 0) {
         pgw_buffer_dispose(&link->in);
     }
 }
 
 static void
-link_connected(struct pgw_link *link)
+link_handle_connected(struct pgw_link *link)
 {
     int code = 0;
     socklen_t size = sizeof(code);
 
-    getsockopt(link->watch.fd, SOL_SOCKET, SO_ERROR, &code, &size);
+    getsockopt(link->loop_fd.fd, SOL_SOCKET, SO_ERROR, &code, &size);
     if (code != 0) {
         errno = code;
-        link->refused = code == ECONNREFUSED;
-        link_break_errno(link, "connect");
+        link->was_refused = code == ECONNREFUSED;
+        link_close_with_errno(link, "connect");
         return;
     }
     link->connecting = false;
-    link->heard_us = pgw_now_us();
+    link->last_received_us = pgw_now_us();
     link->wants_write = true;
     if (link->ops->on_open != NULL) {
         link->ops->on_open(link, link->context);
@@ -222,12 +226,13 @@
 }
 
 static void
-link_ready(struct pgw_loop_fd *watch, uint32_t events)
+link_handle_events(struct pgw_loop_fd *loop_fd, uint32_t events)
 {
-    struct pgw_link *link = pgw_container_of(watch, struct pgw_link, watch);
+    struct pgw_link *link =
+        pgw_container_of(loop_fd, struct pgw_link, loop_fd);
 
     if (link->connecting) {
-        link_connected(link);
+        link_handle_connected(link);
         return;
     }
     if (events & EPOLLOUT) {
@@ -245,13 +250,14 @@
     struct pgw_link *link = g_new0(struct pgw_link, 1);
 
     pgw_socket_tune(fd, LINK_USER_TIMEOUT_MS);
-    link->watch = (struct pgw_loop_fd){.fd = fd, .on_ready = link_ready};
+    link->loop_fd =
+        (struct pgw_loop_fd){.fd = fd, .on_ready = link_handle_events};
     link->loop = loop;
     link->ops = ops;
     link->context = context;
     link->connecting = connecting;
-    link->heard_us = pgw_now_us();
-    if (!pgw_loop_fd_add(loop, &link->watch, connecting ? EPOLLOUT : EPOLLIN,
+    link->last_received_us = pgw_now_us();
+    if (!pgw_loop_fd_add(loop, &link->loop_fd, connecting ? EPOLLOUT : EPOLLIN,
                          error)) {
         close(fd);
         g_free(link);
@@ -304,11 +310,11 @@
 {
     bool was_empty;
 
-    if (link->closing || link->deaf) {
+    if (link->closing || link->send_failed) {
         return;
     }
     was_empty = pgw_buffer_size(&link->out) == 0;
-    link->sent_us = pgw_now_us();
+    link->last_queued_us = pgw_now_us();
     pgw_frame_append(&link->out, type, message);
     if (was_empty && !link->connecting) {
         link_flush(link);
@@ -318,57 +324,57 @@
 size_t
 pgw_link_pending_bytes(const struct pgw_link *link)
 {
-    int unsent = 0;
+    int unacked = 0;
 
-    if (link->closing || link->deaf) {
+    if (link->closing || link->send_failed) {
         return 0;
     }
-    /* Closing with unread bytes from the peer resets the connection, which
-     * takes along what the system has not delivered yet. */
-    if (ioctl(link->watch.fd, SIOCOUTQ, &unsent) != 0) {
-        unsent = 0;
+    /* Counts bytes in the socket's send buffer too: closing a socket with
+     * unread received bytes resets the connection and discards them. */
+    if (ioctl(link->loop_fd.fd, SIOCOUTQ, &unacked) != 0) {
+        unacked = 0;
     }
-    return pgw_buffer_size(&link->out) + (size_t)unsent;
+    return pgw_buffer_size(&link->out) + (size_t)unacked;
 }
 
 bool
 pgw_link_was_refused(const struct pgw_link *link)
 {
-    return link->refused;
+    return link->was_refused;
 }
 
 bool
 pgw_link_was_ended_by_peer(const struct pgw_link *link)
 {
-    return link->ended;
+    return link->was_ended_by_peer;
 }
 
 bool
 pgw_link_is_open(const struct pgw_link *link)
 {
-    return !link->connecting && !link->closing && !link->deaf;
+    return !link->connecting && !link->closing && !link->send_failed;
 }
 
 uint64_t
 pgw_link_last_received_us(const struct pgw_link *link)
 {
-    return link->heard_us;
+    return link->last_received_us;
 }
 
 uint64_t
 pgw_link_last_queued_us(const struct pgw_link *link)
 {
-    return link->sent_us;
+    return link->last_queued_us;
 }
 
 void
 pgw_link_close(struct pgw_link *link)
 {
-    link_break(link, NULL);
+    link_start_close(link, NULL);
 }
 
 struct pgw_listener {
-    struct pgw_loop_fd watch;
+    struct pgw_loop_fd loop_fd;
     struct pgw_loop *loop;
     void (*on_accept)(int fd, void *context);
     void *context;
@@ -376,30 +382,30 @@
 };
 
 static void
-listener_ready(struct pgw_loop_fd *watch, uint32_t events)
+listener_accept(struct pgw_loop_fd *loop_fd, uint32_t events)
 {
     struct pgw_listener *listener =
-        pgw_container_of(watch, struct pgw_listener, watch);
+        pgw_container_of(loop_fd, struct pgw_listener, loop_fd);
     int fd;
 
     (void)events;
-    while ((fd = accept4(watch->fd, NULL, NULL,
+    while ((fd = accept4(loop_fd->fd, NULL, NULL,
                          SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0) {
         listener->on_accept(fd, listener->context);
     }
 }
 
 static int
-open_listening(const struct pgw_address *address)
+open_listening_socket(const struct pgw_address *address)
 {
-    int one = 1;
+    int enable = 1;
     int fd = socket(address->storage.ss_family,
                     SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
 
     if (fd < 0) {
         return -1;
     }
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
     if (bind(fd, (const struct sockaddr *)&address->storage, address->size) !=
             0 ||
         listen(fd, LISTEN_BACKLOG) != 0) {
@@ -417,7 +423,7 @@
     struct pgw_listener *listener;
     struct pgw_address bound = *address;
     char text[PGW_ADDRESS_TEXT_SIZE];
-    int fd = open_listening(address);
+    int fd = open_listening_socket(address);
 
     if (fd < 0) {
         pgw_address_format(text, address);
@@ -429,13 +435,13 @@
     }
     getsockname(fd, (struct sockaddr *)&bound.storage, &bound.size);
     listener = g_new0(struct pgw_listener, 1);
-    listener->watch =
-        (struct pgw_loop_fd){.fd = fd, .on_ready = listener_ready};
+    listener->loop_fd =
+        (struct pgw_loop_fd){.fd = fd, .on_ready = listener_accept};
     listener->loop = loop;
     listener->on_accept = on_accept;
     listener->context = context;
     listener->port = (uint16_t)pgw_address_port(&bound);
-    if (!pgw_loop_fd_add(loop, &listener->watch, EPOLLIN, error)) {
+    if (!pgw_loop_fd_add(loop, &listener->loop_fd, EPOLLIN, error)) {
         close(fd);
         g_free(listener);
         return NULL;
@@ -455,7 +461,7 @@
     if (listener == NULL) {
         return;
     }
-    pgw_loop_fd_remove(listener->loop, &listener->watch);
-    close(listener->watch.fd);
+    pgw_loop_fd_remove(listener->loop, &listener->loop_fd);
+    close(listener->loop_fd.fd);
     g_free(listener);
 }
--- a/src/libparsleygw/link.h
+++ b/src/libparsleygw/link.h
@@ -6,22 +6,24 @@
 #include "util/loop.h"
 
 /**
- * DOC: One framed TCP connection between two of our processes
+ * DOC: Framed TCP connection between two processes of the system
  *
- * A link lives on one loop's thread. Sending never blocks: frames queue in
- * memory, and who sends much watches pgw_link_pending_bytes(). A link that
- * breaks reports it once through @on_closed, from the loop and never from
- * inside a send, and is freed by the loop afterwards.
+ * All calls for a link are made on the thread of its loop. Sending never
+ * blocks: frames are queued in memory, and a sender of large amounts limits
+ * itself by pgw_link_pending_bytes(). When the connection ends, the loop calls
+ * @on_closed once, never from inside another call, and then frees the link.
  */
 
 struct pgw_link;
 
 /**
- * struct pgw_link_ops - what the owner of a link does
- * @on_open: an outgoing connection is established; may be NULL
- * @on_frame: one frame arrived; return true to keep the message (and free it
- *            with pgw_frame_free()), false to let the link free it
- * @on_closed: the link is gone; @error says why, NULL after pgw_link_close()
+ * struct pgw_link_ops - callbacks of the owner of a link
+ * @on_open: called when an outgoing connection is established; may be NULL
+ * @on_frame: called for each received frame; returns true to take ownership of
+ *            the message (release with pgw_frame_free()), false to let the
+ *            link free it
+ * @on_closed: called when the link is closed, before it is freed; @error is
+ *             the cause, NULL after pgw_link_close()
  */
 struct pgw_link_ops {
     void (*on_open)(struct pgw_link *link, void *context);
@@ -33,40 +35,43 @@
 
 /**
  * pgw_link_connect() - start an outgoing connection
- * @loop: loop that serves the link
- * @address: the peer's
- * @ops: the owner's callbacks
- * @context: handed to them
+ * @loop: event loop of the link
+ * @address: address of the peer
+ * @ops: callbacks
+ * @context: passed to @ops
  * @error: %PGW_ERROR_IO
  *
- * Return: the link, or NULL. Frames may be sent at once and queue.
+ * Return: the link, or NULL. Frames sent before the connection is established
+ * are queued.
  */
 struct pgw_link *pgw_link_connect(struct pgw_loop *loop,
                                   const struct pgw_address *address,
                                   const struct pgw_link_ops *ops,
                                   void *context, GError **error);
 
-/** pgw_link_accept() - take over an accepted, connected socket */
+/** pgw_link_accept() - create a link that owns an accepted socket */
 struct pgw_link *pgw_link_accept(struct pgw_loop *loop, int fd,
                                  const struct pgw_link_ops *ops, void *context,
                                  GError **error);
 
-/** pgw_link_send() - queue one message; dropped when the link is closing */
+/** pgw_link_send() - queue one message; ignored while the link is closing or
+ * after a send error */
 void pgw_link_send(struct pgw_link *link, enum pgw_frame_type type,
                    const ProtobufCMessage *message);
 
-/** pgw_link_pending_bytes() - bytes queued and not yet received by the peer */
+/** pgw_link_pending_bytes() - bytes queued or not yet acknowledged by the peer
+ */
 size_t pgw_link_pending_bytes(const struct pgw_link *link);
 
-/** pgw_link_was_refused() - the peer's machine answered that nobody listens
- * there; to be asked while the link's end is told */
+/** pgw_link_was_refused() - the peer's host refused the connection; valid in
+ * @on_closed */
 bool pgw_link_was_refused(const struct pgw_link *link);
 
-/** pgw_link_was_ended_by_peer() - the peer's machine closed, reset or refused
- * it, so that machine answers; to be asked while the link's end is told */
+/** pgw_link_was_ended_by_peer() - the peer's host closed, reset or refused the
+ * connection, so that host is reachable; valid in @on_closed */
 bool pgw_link_was_ended_by_peer(const struct pgw_link *link);
 
-/** pgw_link_is_open() - connected and not closing */
+/** pgw_link_is_open() - connected, without send error and not closing */
 bool pgw_link_is_open(const struct pgw_link *link);
 
 /** pgw_link_last_received_us() - monotonic time of the last received byte */
@@ -75,23 +80,24 @@
 /** pgw_link_last_queued_us() - monotonic time of the last queued message */
 uint64_t pgw_link_last_queued_us(const struct pgw_link *link);
 
-/** pgw_link_close() - close after @on_closed was called from the loop */
+/** pgw_link_close() - close the link; @on_closed is called later, from the
+ * loop */
 void pgw_link_close(struct pgw_link *link);
 
-/** pgw_link_register_metrics() - show the bytes of all links in /metrics */
+/** pgw_link_register_metrics() - export the bytes of all links in /metrics */
 void pgw_link_register_metrics(void);
 
 /**
- * struct pgw_listener - accepts framed connections
+ * struct pgw_listener - listening TCP socket
  */
 struct pgw_listener;
 
 /**
  * pgw_listener_new() - listen on a numeric address
- * @loop: loop that accepts
- * @address: the address; port 0 picks a free one
- * @on_accept: receives each accepted socket and owns it
- * @context: handed to it
+ * @loop: event loop of the listener
+ * @address: the address; port 0 selects a free port
+ * @on_accept: called for each accepted socket, which it owns
+ * @context: passed to @on_accept
  * @error: %PGW_ERROR_IO
  */
 struct pgw_listener *pgw_listener_new(struct pgw_loop *loop,
@@ -99,10 +105,10 @@
                                       void (*on_accept)(int fd, void *context),
                                       void *context, GError **error);
 
-/** pgw_listener_port() - the port that it listens on */
+/** pgw_listener_port() - port of the listening socket */
 uint16_t pgw_listener_port(const struct pgw_listener *listener);
 
-/** pgw_listener_free() - stop listening */
+/** pgw_listener_free() - stop listening and free the listener */
 void pgw_listener_free(struct pgw_listener *listener);
 
 #endif
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -1,5 +1,5 @@
-/* The frame decoder against broken streams: it takes frames, waits, or says
- * with an error that the stream is broken. */
+/* Fuzzes the frame decoder: it decodes a frame, waits for more bytes, or
+ * reports an invalid stream with an error. */
 #include <string.h>
 
 #include "libparsleygw/frame.h"
@@ -7,14 +7,14 @@
 
 #include "fuzz/fuzz_input.h"
 
-struct tally {
-    unsigned taken;
-    unsigned broken;
-    unsigned more;
+struct result_counts {
+    unsigned decoded;
+    unsigned invalid;
+    unsigned incomplete;
 };
 
 static void
-decode_all(struct tally *tally, const GByteArray *input)
+decode_all(struct result_counts *counts, const GByteArray *input)
 {
     struct pgw_buffer in = {0};
     enum pgw_frame_result result;
@@ -31,14 +31,14 @@
         g_assert_cmpint(result == PGW_FRAME_DECODED, ==, message != NULL);
         if (result == PGW_FRAME_DECODED) {
             g_assert_cmpuint(pgw_buffer_size(&in), <, before);
-            /* What was decoded can be sent on. */
+            /* A decoded message can be encoded again. */
             pgw_frame_append(&in, type, message);
             in.end -= protobuf_c_message_get_packed_size(message) +
                       PGW_FRAME_HEADER_SIZE;
-            tally->taken++;
+            counts->decoded++;
         }
-        tally->broken += result == PGW_FRAME_INVALID;
-        tally->more += result == PGW_FRAME_INCOMPLETE;
+        counts->invalid += result == PGW_FRAME_INVALID;
+        counts->incomplete += result == PGW_FRAME_INCOMPLETE;
         pgw_frame_free(message);
         g_clear_error(&error);
     } while (result == PGW_FRAME_DECODED);
@@ -96,7 +96,7 @@
     struct fuzz_seed list[2];
     GRand *random = g_rand_new_with_seed(FUZZ_SEED);
     GByteArray *input = g_byte_array_new();
-    struct tally tally = {0};
+    struct result_counts counts = {0};
 
     append_open(&seeds[0]);
     append_objects(&seeds[1]);
@@ -106,14 +106,15 @@
     }
     for (unsigned i = 0; i < FUZZ_INPUTS; i++) {
         fuzz_next(input, random, list, 2);
-        decode_all(&tally, input);
+        decode_all(&counts, input);
     }
-    g_print("taken %u, broken %u, incomplete %u\n", tally.taken, tally.broken,
-            tally.more);
-    /* Each way out was taken: the inputs are neither all good nor all bad. */
-    g_assert_cmpuint(tally.taken, >, FUZZ_INPUTS / 10);
-    g_assert_cmpuint(tally.broken, >, FUZZ_INPUTS / 10);
-    g_assert_cmpuint(tally.more, >, FUZZ_INPUTS / 10);
+    g_print("decoded %u, invalid %u, incomplete %u\n", counts.decoded,
+            counts.invalid, counts.incomplete);
+    /* Each result occurred often: the inputs are neither all valid nor all
+     * invalid. */
+    g_assert_cmpuint(counts.decoded, >, FUZZ_INPUTS / 10);
+    g_assert_cmpuint(counts.invalid, >, FUZZ_INPUTS / 10);
+    g_assert_cmpuint(counts.incomplete, >, FUZZ_INPUTS / 10);
     g_byte_array_unref(input);
     g_rand_free(random);
     pgw_buffer_dispose(&seeds[0]);
--- a/tests/unit/test_frame.c
+++ b/tests/unit/test_frame.c
@@ -1,4 +1,4 @@
-/* Frames: whole, split at every byte, and broken ones. */
+/* Frames: complete, split at every byte, and invalid ones. */
 #include <string.h>
 
 #include "libparsleygw/frame.h"
@@ -17,7 +17,7 @@
 }
 
 static void
-take_cancel(struct pgw_buffer *in, uint32_t attempt)
+assert_cancel(struct pgw_buffer *in, uint32_t attempt)
 {
     enum pgw_frame_type type;
     ProtobufCMessage *message = NULL;
@@ -51,8 +51,8 @@
                         PGW_FRAME_INCOMPLETE);
         g_assert_no_error(error);
         pgw_buffer_append(&in, head + cut, pgw_buffer_size(&whole) - cut);
-        take_cancel(&in, 7);
-        take_cancel(&in, 8);
+        assert_cancel(&in, 7);
+        assert_cancel(&in, 8);
         g_assert_cmpuint(pgw_buffer_size(&in), ==, 0);
     }
     pgw_buffer_dispose(&in);
@@ -60,7 +60,7 @@
 }
 
 static void
-assert_broken(const uint8_t *bytes, size_t size)
+assert_invalid(const uint8_t *bytes, size_t size)
 {
     struct pgw_buffer in = {0};
     enum pgw_frame_type type;
@@ -76,25 +76,26 @@
     pgw_buffer_dispose(&in);
 }
 
-/* Each is refused from its header alone: a peer cannot make us wait for, or
- * hold, more than one frame. */
+/* Each frame is rejected as soon as its bytes show the error, so that a peer
+ * cannot make a process wait for or buffer more than one frame. */
 static void
-test_broken(void)
+test_invalid(void)
 {
-    const uint8_t zero[] = {0, 0, 0, 0, PGW_FRAME_CANCEL};
-    const uint8_t huge[] = {0xff, 0xff, 0xff, 0xff, PGW_FRAME_CANCEL};
-    const uint8_t over[] = {0, 0xa0, 0, 1, PGW_FRAME_CANCEL};
+    const uint8_t zero_length[] = {0, 0, 0, 0, PGW_FRAME_CANCEL};
+    const uint8_t max_length[] = {0xff, 0xff, 0xff, 0xff, PGW_FRAME_CANCEL};
+    const uint8_t too_long[] = {0, 0xa0, 0, 1, PGW_FRAME_CANCEL};
     const uint8_t no_type[] = {0, 0, 0, 1, 0};
-    const uint8_t unknown[] = {0, 0, 0, 9, PGW_FRAME_TYPE_COUNT};
-    /* Field 1 claims 127 bytes of which none follow. */
-    const uint8_t lying[] = {0, 0, 0, 3, PGW_FRAME_CANCEL, 0x0a, 0x7f};
+    const uint8_t unknown_type[] = {0, 0, 0, 9, PGW_FRAME_TYPE_COUNT};
+    /* Field 1 declares 127 bytes but none follow. */
+    const uint8_t truncated_field[] = {0,    0,   0, 3, PGW_FRAME_CANCEL,
+                                       0x0a, 0x7f};
 
-    assert_broken(zero, sizeof(zero));
-    assert_broken(huge, sizeof(huge));
-    assert_broken(over, sizeof(over));
-    assert_broken(no_type, sizeof(no_type));
-    assert_broken(unknown, sizeof(unknown));
-    assert_broken(lying, sizeof(lying));
+    assert_invalid(zero_length, sizeof(zero_length));
+    assert_invalid(max_length, sizeof(max_length));
+    assert_invalid(too_long, sizeof(too_long));
+    assert_invalid(no_type, sizeof(no_type));
+    assert_invalid(unknown_type, sizeof(unknown_type));
+    assert_invalid(truncated_field, sizeof(truncated_field));
 }
 
 static void
@@ -112,7 +113,7 @@
     g_assert_cmpint(pgw_frame_decode(&type, &message, &in, &error), ==,
                     PGW_FRAME_DECODED);
     g_assert_cmpuint(((Pgw__Data *)message)->data.len, ==, data.data.len);
-    /* The peak is not kept once the buffer is empty. */
+    /* An empty buffer releases its peak capacity. */
     g_assert_cmpuint(in.capacity, ==, 0);
     pgw_frame_free(message);
     g_free(data.data.data);
@@ -124,7 +125,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/frame/split-anywhere", test_split_anywhere);
-    g_test_add_func("/frame/broken", test_broken);
+    g_test_add_func("/frame/invalid", test_invalid);
     g_test_add_func("/frame/largest", test_largest);
     return g_test_run();
 }
--- a/tests/unit/test_link.c
+++ b/tests/unit/test_link.c
@@ -1,4 +1,4 @@
-/* Two ends of a link on one loop: order, size, breakage, closing. */
+/* Both ends of a link on one loop: frame order and size, errors, closing. */
 #include <poll.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -14,20 +14,20 @@
     unsigned frames;
     size_t bytes;
     unsigned closed;
-    int error_code; /* -1: none */
-    unsigned close_after;
-    bool keep;
-    ProtobufCMessage *kept;
+    int error_code;              /* -1: none */
+    unsigned close_after_frames; /* 0: never */
+    bool keeps_messages;
+    ProtobufCMessage *kept_message;
 };
 
 struct fixture {
     struct pgw_loop *loop;
     struct pgw_listener *listener;
-    struct pgw_timer limit;
+    struct pgw_timer timeout;
     struct end client;
     struct end server;
-    unsigned stop_frames;
-    unsigned stop_closed;
+    unsigned expected_frames;
+    unsigned expected_closed;
 };
 
 static struct fixture fixture;
@@ -35,8 +35,10 @@
 static void
 stop_if_done(void)
 {
-    if (fixture.client.closed + fixture.server.closed == fixture.stop_closed &&
-        fixture.client.frames + fixture.server.frames >= fixture.stop_frames) {
+    if (fixture.client.closed + fixture.server.closed ==
+            fixture.expected_closed &&
+        fixture.client.frames + fixture.server.frames >=
+            fixture.expected_frames) {
         pgw_loop_stop(fixture.loop);
     }
 }
@@ -53,18 +55,18 @@
     g_assert_cmpuint(data->sequence, ==, end->frames);
     end->frames++;
     end->bytes += data->data.len;
-    if (end->frames == end->close_after) {
+    if (end->frames == end->close_after_frames) {
         pgw_link_close(link);
-        /* Sent into nothing, and no callback from in here. */
+        /* The message is ignored and no callback is called from here. */
         pgw_link_send(link, PGW_FRAME_DATA, message);
         g_assert_cmpuint(end->closed, ==, 0);
     }
-    if (end->keep) {
-        pgw_frame_free(end->kept);
-        end->kept = message;
+    if (end->keeps_messages) {
+        pgw_frame_free(end->kept_message);
+        end->kept_message = message;
     }
     stop_if_done();
-    return end->keep;
+    return end->keeps_messages;
 }
 
 static void
@@ -93,10 +95,10 @@
 }
 
 static void
-limit_due(struct pgw_timer *timer)
+fail_on_timeout(struct pgw_timer *timer)
 {
     (void)timer;
-    g_error("no end: client %u frames, server %u frames",
+    g_error("timeout: client %u frames, server %u frames",
             fixture.client.frames, fixture.server.frames);
 }
 
@@ -117,13 +119,13 @@
 {
     struct pgw_address any;
 
-    fixture = (struct fixture){.limit.on_due = limit_due};
+    fixture = (struct fixture){.timeout.on_due = fail_on_timeout};
     fixture.loop = pgw_loop_new(NULL);
     g_assert_true(pgw_address_parse(&any, "127.0.0.1:0", NULL));
     fixture.listener =
         pgw_listener_new(fixture.loop, &any, on_accept, NULL, NULL);
     g_assert_nonnull(fixture.listener);
-    pgw_timer_start(fixture.loop, &fixture.limit, 60 * G_USEC_PER_SEC);
+    pgw_timer_start(fixture.loop, &fixture.timeout, 60 * G_USEC_PER_SEC);
 }
 
 static void
@@ -146,9 +148,9 @@
         pgw_link_close(fixture.server.link);
     }
     pgw_loop_run_tasks(fixture.loop);
-    pgw_frame_free(fixture.server.kept);
+    pgw_frame_free(fixture.server.kept_message);
     pgw_listener_free(fixture.listener);
-    pgw_timer_stop(fixture.loop, &fixture.limit);
+    pgw_timer_stop(fixture.loop, &fixture.timeout);
     pgw_loop_free(fixture.loop);
 }
 
@@ -164,8 +166,8 @@
     g_free(data.data.data);
 }
 
-/* Frames sent before the connection stands, among them ones far beyond a
- * socket's buffer, arrive whole and in order. */
+/* Frames sent before the connection is established, some of them much larger
+ * than a socket buffer, arrive complete and in order. */
 static void
 test_order_and_size(void)
 {
@@ -173,8 +175,8 @@
 
     set_up();
     connect_client();
-    fixture.server.keep = true;
-    fixture.stop_frames = FRAMES;
+    fixture.server.keeps_messages = true;
+    fixture.expected_frames = FRAMES;
     for (unsigned i = 0; i < FRAMES; i++) {
         size_t size = i % 100 == 99 ? (size_t)5 << 20 : i * 37;
 
@@ -189,15 +191,15 @@
     tear_down();
 }
 
-/* Closing inside a callback: no later frame of the same read is delivered,
- * and each side hears of the end once. */
+/* After closing inside a callback, no later frame of the same read is
+ * delivered, and on_closed is called once at each end. */
 static void
 test_close_inside_callback(void)
 {
     set_up();
     connect_client();
-    fixture.server.close_after = 3;
-    fixture.stop_closed = 2;
+    fixture.server.close_after_frames = 3;
+    fixture.expected_closed = 2;
     for (unsigned i = 0; i < 10; i++) {
         send_data(fixture.client.link, i, 10);
     }
@@ -209,14 +211,14 @@
 }
 
 static void
-run_with_bytes(const uint8_t *bytes, size_t size)
+receive_raw_bytes(const uint8_t *bytes, size_t size)
 {
     struct pgw_address address;
     int fd;
 
     set_up();
     address = listening_address();
-    fixture.stop_closed = 1;
+    fixture.expected_closed = 1;
     fd = socket(AF_INET, SOCK_STREAM, 0);
     g_assert_cmpint(
         connect(fd, (struct sockaddr *)&address.storage, address.size), ==, 0);
@@ -227,10 +229,10 @@
     close(fd);
 }
 
-/* A stream that is not ours ends its link with a protocol error, whatever
- * follows; the other links and the loop go on. */
+/* A stream with a bad length, an unknown type or another protocol closes its
+ * link with a protocol error, whatever follows; the loop keeps running. */
 static void
-test_broken_stream(void)
+test_malformed_stream(void)
 {
     const uint8_t length[] = {0xff, 0xff, 0xff, 0xff, PGW_FRAME_DATA, 1, 2};
     const uint8_t type[] = {0, 0, 0, 2, 200, 0};
@@ -245,7 +247,7 @@
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        run_with_bytes(cases[i].bytes, cases[i].size);
+        receive_raw_bytes(cases[i].bytes, cases[i].size);
         g_assert_cmpuint(fixture.server.frames, ==, 0);
         g_assert_cmpint(fixture.server.error_code, ==, PGW_ERROR_PROTOCOL);
         tear_down();
@@ -253,8 +255,8 @@
 }
 
 static bool
-answer_each(struct pgw_link *link, enum pgw_frame_type type,
-            ProtobufCMessage *message, void *context)
+echo_frame(struct pgw_link *link, enum pgw_frame_type type,
+           ProtobufCMessage *message, void *context)
 {
     (void)type;
     (void)context;
@@ -263,24 +265,25 @@
     return false;
 }
 
-static const struct pgw_link_ops answering_ops = {
-    .on_frame = answer_each,
+static const struct pgw_link_ops echo_ops = {
+    .on_frame = echo_frame,
     .on_closed = on_closed,
 };
 
 static int raw_peer;
 
-/* The peer sends its last frames and closes without having read ours. */
+/* Accepts a connection whose peer then sends its last frames and closes
+ * without reading the link's frame, which resets the connection. */
 static void
-accept_and_lose(int fd, void *context)
+accept_from_closing_peer(int fd, void *context)
 {
     struct pollfd wait = {.fd = raw_peer, .events = POLLIN};
     struct pgw_buffer out = {0};
     Pgw__Data data = PGW__DATA__INIT;
 
     (void)context;
-    fixture.server.link = pgw_link_accept(fixture.loop, fd, &answering_ops,
-                                          &fixture.server, NULL);
+    fixture.server.link =
+        pgw_link_accept(fixture.loop, fd, &echo_ops, &fixture.server, NULL);
     send_data(fixture.server.link, 0, 10);
     g_assert_cmpint(poll(&wait, 1, 60000), ==, 1);
     for (unsigned i = 0; i < FRAMES; i++) {
@@ -293,8 +296,8 @@
     pgw_buffer_dispose(&out);
 }
 
-/* That resets the connection. Every frame that arrived counts, also while
- * each of our own sends fails. */
+/* Frames received before a reset are all delivered, even though each send by
+ * the link fails. */
 static void
 test_frames_before_a_reset(void)
 {
@@ -304,10 +307,10 @@
     set_up();
     pgw_listener_free(fixture.listener);
     g_assert_true(pgw_address_parse(&any, "127.0.0.1:0", NULL));
-    fixture.listener =
-        pgw_listener_new(fixture.loop, &any, accept_and_lose, NULL, NULL);
+    fixture.listener = pgw_listener_new(fixture.loop, &any,
+                                        accept_from_closing_peer, NULL, NULL);
     address = listening_address();
-    fixture.stop_closed = 1;
+    fixture.expected_closed = 1;
     raw_peer = socket(AF_INET, SOCK_STREAM, 0);
     g_assert_cmpint(
         connect(raw_peer, (struct sockaddr *)&address.storage, address.size),
@@ -327,7 +330,7 @@
     address = listening_address();
     pgw_listener_free(fixture.listener);
     fixture.listener = NULL;
-    fixture.stop_closed = 1;
+    fixture.expected_closed = 1;
     fixture.client.link =
         pgw_link_connect(fixture.loop, &address, &ops, &fixture.client, NULL);
     if (fixture.client.link != NULL) {
@@ -343,7 +346,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/link/order-and-size", test_order_and_size);
     g_test_add_func("/link/close-inside-callback", test_close_inside_callback);
-    g_test_add_func("/link/broken-stream", test_broken_stream);
+    g_test_add_func("/link/malformed-stream", test_malformed_stream);
     g_test_add_func("/link/frames-before-a-reset", test_frames_before_a_reset);
     g_test_add_func("/link/refused-connection", test_refused_connection);
     return g_test_run();
