--- a/src/libparsleygw/frame.c
+++ b/src/libparsleygw/frame.c
@@ -35,7 +35,7 @@
 {
     size_t size = protobuf_c_message_get_packed_size(message);
     uint32_t length = htonl((uint32_t)size + 1);
-    uint8_t *room;
+    uint8_t *frame;
 
     g_assert(message->descriptor == descriptors[type]);
     room = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
@@ -79,7 +79,7 @@
                                          head + PGW_FRAME_HEADER_SIZE);
     if (*message == NULL) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
-                    "frame of type %u does not decode: check that the peer "
+                    "frame of type %u cannot be decoded: check that the peer "
                     "is a parsleygw process of this version",
                     *type);
         return PGW_FRAME_INVALID;
--- a/src/libparsleygw/frame.h
+++ b/src/libparsleygw/frame.h
@@ -6,10 +6,10 @@
 #include <stdbool.h>
 
 /**
- * DOC: Frames between our processes
+ * DOC: Frames between processes of the system
  *
- * A frame is 4 bytes of length (big endian, counting the type byte and the
- * payload), 1 byte of type and a packed protobuf message.
+ * A frame consists of 4 bytes of length (big endian, including the type byte
+ * and the payload), 1 byte of type and a packed protobuf message.
  */
 
 /* Version of the messages; processes of different ones do not talk. */
@@ -50,10 +50,10 @@
 };
 
 /**
- * pgw_frame_append() - pack one message as a frame at the end of a buffer
+ * pgw_frame_append() - encode one message as a frame and append it to a buffer
  * @out: the buffer
- * @type: the message's type
- * @message: the message that belongs to @type
+ * @type: type of the message
+ * @message: the message; its descriptor must match @type
  */
 void pgw_frame_append(struct pgw_buffer *out, enum pgw_frame_type type,
                       const ProtobufCMessage *message);
