--- a/include/parsleygw/cache.h
+++ b/include/parsleygw/cache.h
@@ -51,7 +51,8 @@
  * struct pgw_cache_source - who said it, and when it was asked
  * @incarnation: the engine's, as it gave it in the answer
  * @version: the weights version that it gave
- * @asked: when the question was sent, microseconds of the clock of all calls
+ * @requested_us: when the question was sent, microseconds of the clock of all
+ * calls
  *
  * An answer that differs from what is known is news if it was asked for after
  * that became known. Otherwise either may be the later one: everything is
@@ -60,7 +61,7 @@
 struct pgw_cache_source {
     uint64_t incarnation;
     const char *version;
-    uint64_t asked;
+    uint64_t requested_us;
 };
 
 enum pgw_cache_kind {
@@ -146,13 +147,13 @@
                           const struct pgw_cache_source *source, uint64_t now);
 
 /**
- * pgw_cache_lose_engine() - the engine is known to be dead
+ * pgw_cache_clear_engine() - the engine is known to be dead
  * @cache: the view
  * @now: microseconds; answers asked for before this are dropped
  *
  * Forgets everything at once.
  */
-void pgw_cache_lose_engine(struct pgw_cache *cache, uint64_t now);
+void pgw_cache_clear_engine(struct pgw_cache *cache, uint64_t now);
 
 /**
  * pgw_cache_incarnation() - the engine's incarnation, 0 while none is known
@@ -173,16 +174,16 @@
 uint64_t pgw_cache_last_seq(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_true_seq() - event as of which the certain blocks are true
+ * pgw_cache_certain_seq() - event as of which the certain blocks are true
  * @cache: the view
  *
  * Beyond pgw_cache_last_seq() after a list of all blocks that was newer than
  * the events: those still come, and tell what the listed blocks are.
  */
-uint64_t pgw_cache_true_seq(const struct pgw_cache *cache);
+uint64_t pgw_cache_certain_seq(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_note_request() - a request goes to the engine now
+ * pgw_cache_record_request() - a request goes to the engine now
  * @cache: the view
  * @request: its identity, as the engine's events will name it
  * @chain: its levels
@@ -191,26 +192,26 @@
  *
  * Ignored when @salt names another version than the engine's.
  */
-void pgw_cache_note_request(struct pgw_cache *cache,
-                            const struct pgw_request_id *request,
-                            const struct pgw_level_chain *chain,
-                            const struct pgw_level_salt *salt, uint64_t now);
+void pgw_cache_record_request(struct pgw_cache *cache,
+                              const struct pgw_request_id *request,
+                              const struct pgw_level_chain *chain,
+                              const struct pgw_level_salt *salt, uint64_t now);
 
 /**
- * pgw_cache_note_answer() - a request's first token came
+ * pgw_cache_record_first_token() - a request's first token came
  * @cache: the view
  * @request: its identity
- * @source: the answer's headers; @asked is when the request was sent
+ * @source: the answer's headers; @requested_us is when the request was sent
  * @cached_tokens: usage.cached_tokens of the answer
  * @now: microseconds
  *
  * The prompt has been computed, so its levels are hints from now on until the
  * events confirm them.
  */
-void pgw_cache_note_answer(struct pgw_cache *cache,
-                           const struct pgw_request_id *request,
-                           const struct pgw_cache_source *source,
-                           uint32_t cached_tokens, uint64_t now);
+void pgw_cache_record_first_token(struct pgw_cache *cache,
+                                  const struct pgw_request_id *request,
+                                  const struct pgw_cache_source *source,
+                                  uint32_t cached_tokens, uint64_t now);
 
 /**
  * pgw_cache_apply() - take a batch of events
@@ -245,14 +246,14 @@
                     uint64_t now);
 
 /**
- * pgw_cache_wants_sync() - whether to read the list of all blocks now
+ * pgw_cache_sync_is_due() - whether to read the list of all blocks now
  * @cache: the view
  * @now: microseconds
  *
  * True after a loss, at most once in the options' sync interval; the call
  * that returns true starts a new interval.
  */
-bool pgw_cache_wants_sync(struct pgw_cache *cache, uint64_t now);
+bool pgw_cache_sync_is_due(struct pgw_cache *cache, uint64_t now);
 
 /**
  * pgw_cache_match() - prompt tokens that the engine holds for a chain
--- a/include/parsleygw/place.h
+++ b/include/parsleygw/place.h
@@ -151,7 +151,8 @@
                       uint32_t prompt_tokens, uint64_t random);
 
 /**
- * pgw_place_gather() - where a copy of an unproven request goes (copies.h)
+ * pgw_place_choose_first_available() - where a copy of an unproven request
+ * goes (copies.h)
  * @out: receives the choice
  * @candidates: in order of rank
  * @n: their number
@@ -159,8 +160,10 @@
  * Return: false when the first candidate does not ask for it; else @out names
  * the first in rank that takes work, the same one for all entries.
  */
-bool pgw_place_gather(struct pgw_place_choice *out,
-                      const struct pgw_place_candidate *candidates, size_t n);
+bool
+pgw_place_choose_first_available(struct pgw_place_choice *out,
+                                 const struct pgw_place_candidate *candidates,
+                                 size_t n);
 
 /**
  * pgw_place_is_settled() - no missing answer could change much
--- a/src/libparsleygw/cache.c
+++ b/src/libparsleygw/cache.c
@@ -42,7 +42,7 @@
 }
 
 void
-pgw_cache_lose_engine(struct pgw_cache *cache, uint64_t now)
+pgw_cache_clear_engine(struct pgw_cache *cache, uint64_t now)
 {
     if (cache->known) {
         forget(cache);
@@ -82,13 +82,13 @@
     if (same_engine(cache, source)) {
         return true;
     }
-    if (source->asked < cache->since ||
-        (cache->known && source->asked == cache->since)) {
+    if (source->requested_us < cache->since ||
+        (cache->known && source->requested_us == cache->since)) {
         cache->stats.late++;
-        pgw_cache_lose_engine(cache, now);
+        pgw_cache_clear_engine(cache, now);
         return false;
     }
-    pgw_cache_lose_engine(cache, now);
+    pgw_cache_clear_engine(cache, now);
     cache->known = true;
     cache->incarnation = source->incarnation;
     g_free(cache->version);
@@ -115,7 +115,7 @@
 }
 
 uint64_t
-pgw_cache_true_seq(const struct pgw_cache *cache)
+pgw_cache_certain_seq(const struct pgw_cache *cache)
 {
     return MAX(cache->last_seq, cache->list_seq);
 }
@@ -137,10 +137,10 @@
 }
 
 void
-pgw_cache_note_request(struct pgw_cache *cache,
-                       const struct pgw_request_id *request,
-                       const struct pgw_level_chain *chain,
-                       const struct pgw_level_salt *salt, uint64_t now)
+pgw_cache_record_request(struct pgw_cache *cache,
+                         const struct pgw_request_id *request,
+                         const struct pgw_level_chain *chain,
+                         const struct pgw_level_salt *salt, uint64_t now)
 {
     struct pgw_cache__request *note;
 
@@ -156,10 +156,10 @@
 }
 
 void
-pgw_cache_note_answer(struct pgw_cache *cache,
-                      const struct pgw_request_id *request,
-                      const struct pgw_cache_source *source,
-                      uint32_t cached_tokens, uint64_t now)
+pgw_cache_record_first_token(struct pgw_cache *cache,
+                             const struct pgw_request_id *request,
+                             const struct pgw_cache_source *source,
+                             uint32_t cached_tokens, uint64_t now)
 {
     const struct pgw_cache__request *note;
 
@@ -240,8 +240,8 @@
 {
     cache->stats.gaps++;
 #ifndef PGW_DISABLE_CACHE_GAP
-    pgw_cache__block_doubt_all(&cache->table,
-                               now + cache->table.options.hint_us);
+    pgw_cache__block_downgrade_all(&cache->table,
+                                   now + cache->table.options.hint_us);
     cache->sync_needed = true;
 #else
     (void)now;
@@ -319,7 +319,7 @@
         return;
     }
     /* What was lost before the last full list is in it. */
-    if (event->seq > pgw_cache_true_seq(cache) + 1 &&
+    if (event->seq > pgw_cache_certain_seq(cache) + 1 &&
         !loss_is_harmless(cache, event)) {
         note_gap(cache, now);
     }
@@ -347,7 +347,7 @@
     for (size_t i = 0; i < n; i++) {
         take_event(cache, &events[i], now);
     }
-    if (last > pgw_cache_true_seq(cache)) {
+    if (last > pgw_cache_certain_seq(cache)) {
         note_gap(cache, now);
     }
     cache->last_seq = MAX(cache->last_seq, last);
@@ -388,7 +388,7 @@
     if (!pgw_cache_set_engine(cache, source, now)) {
         return false;
     }
-    if (seq < pgw_cache_true_seq(cache)) {
+    if (seq < pgw_cache_certain_seq(cache)) {
         cache->stats.late++;
         return false;
     }
@@ -404,7 +404,7 @@
 }
 
 bool
-pgw_cache_wants_sync(struct pgw_cache *cache, uint64_t now)
+pgw_cache_sync_is_due(struct pgw_cache *cache, uint64_t now)
 {
     if (!cache->known || !cache->sync_needed || now < cache->next_sync) {
         return false;
--- a/src/libparsleygw/cache_match.c
+++ b/src/libparsleygw/cache_match.c
@@ -23,7 +23,7 @@
     size_t steps = g_hash_table_size(table->blocks);
 
     for (; block != NULL && steps > 0; block = block->parent, steps--) {
-        if (block->valid_until != PGW_CACHE__SURE) {
+        if (block->valid_until != PGW_CACHE__CERTAIN) {
             run.sure = 0;
         }
         else if (run.sure++ == 0) {
--- a/src/libparsleygw/cache_table.c
+++ b/src/libparsleygw/cache_table.c
@@ -144,7 +144,7 @@
 }
 
 void
-pgw_cache__block_doubt_all(struct pgw_cache__table *table, uint64_t until)
+pgw_cache__block_downgrade_all(struct pgw_cache__table *table, uint64_t until)
 {
     struct pgw_list *link = table->block_lru.prev;
 
@@ -155,7 +155,7 @@
         struct pgw_cache__block *block =
             pgw_container_of(link, struct pgw_cache__block, lru);
 
-        if (block->valid_until != PGW_CACHE__SURE) {
+        if (block->valid_until != PGW_CACHE__CERTAIN) {
             break;
         }
         block->valid_until = until;
@@ -211,7 +211,7 @@
     if (block->valid_until == 0) {
         table->present++;
     }
-    block->valid_until = PGW_CACHE__SURE;
+    block->valid_until = PGW_CACHE__CERTAIN;
     move_to_end(&table->block_lru, &block->lru);
     if (table->present > table->options.blocks) {
         pgw_cache__block_evict(table,
--- a/src/libparsleygw/cache_table.h
+++ b/src/libparsleygw/cache_table.h
@@ -11,14 +11,14 @@
  * DOC: Blocks, levels and requests of the cache view, each bounded
  */
 
-#define PGW_CACHE__SURE UINT64_MAX
+#define PGW_CACHE__CERTAIN UINT64_MAX
 
 /**
  * struct pgw_cache__block - one cached block, or the absent parent of one
  * @id: the engine's name for it; first, as the hash table's key
  * @parent: the block before it; NULL for a first block or while unknown
  * @children: blocks that name this one as parent
- * @valid_until: %PGW_CACHE__SURE while certain, else when the hint ends;
+ * @valid_until: %PGW_CACHE__CERTAIN while certain, else when the hint ends;
  *     0 for an absent block
  * @first: it starts a prompt
  * @listed: the list that is compared names it
@@ -134,8 +134,8 @@
 void pgw_cache__block_evict_all(struct pgw_cache__table *table);
 
 /* Certain blocks become hints that end at @until. */
-void pgw_cache__block_doubt_all(struct pgw_cache__table *table,
-                                uint64_t until);
+void pgw_cache__block_downgrade_all(struct pgw_cache__table *table,
+                                    uint64_t until);
 
 /* Makes no level. NULL if the level is not known. */
 struct pgw_cache__level *
--- a/src/libparsleygw/place_choice.c
+++ b/src/libparsleygw/place_choice.c
@@ -202,8 +202,9 @@
 }
 
 bool
-pgw_place_gather(struct pgw_place_choice *out,
-                 const struct pgw_place_candidate *candidates, size_t n)
+pgw_place_choose_first_available(struct pgw_place_choice *out,
+                                 const struct pgw_place_candidate *candidates,
+                                 size_t n)
 {
     *out = (struct pgw_place_choice){.found = false};
     if (n == 0 || !candidates[0].answered || !candidates[0].gather) {
--- a/tests/property/prop_cache.cc
+++ b/tests/property/prop_cache.cc
@@ -262,7 +262,7 @@
 
         memcpy(id.bytes, &next_id, sizeof(next_id));
         next_id++;
-        pgw_cache_note_request(view, &id, &chain, &salt, now);
+        pgw_cache_record_request(view, &id, &chain, &salt, now);
         /* The engine refuses a request for other weights. */
         return { id,
                  p.version == engine.version ? blocks_of(p)
@@ -302,8 +302,8 @@
             return;
         }
         const auto &held = engine.held.at(incarnation);
-        RC_ASSERT(pgw_cache_true_seq(view) < held.size());
-        RC_ASSERT(sure <= held_prefix(held[pgw_cache_true_seq(view)], p));
+        RC_ASSERT(pgw_cache_certain_seq(view) < held.size());
+        RC_ASSERT(sure <= held_prefix(held[pgw_cache_certain_seq(view)], p));
         RC_ASSERT((pgw_cache_last_block(view, p.workspace.c_str(), &chain) !=
                    0) == (sure > 0));
     }
--- a/tests/property/prop_quarantine.cc
+++ b/tests/property/prop_quarantine.cc
@@ -274,7 +274,7 @@
         if (callers[who].ticket != 0) {
             return;
         }
-        if (pgw_copies_ask(copies, &fingerprint, now + 3600 * kSecond, now)) {
+        if (pgw_copies_register(copies, &fingerprint, now + 3600 * kSecond, now)) {
             wanted = 0;
         }
         pending_opens.push_back({who, wanted});
@@ -350,7 +350,7 @@
             pgw_quarantine_report_success(one.machine, &fingerprint, ticket,
                                           now);
             if (copies != nullptr && i == 0) {
-                pgw_copies_prove(copies, &fingerprint);
+                pgw_copies_mark_completed(copies, &fingerprint);
             }
             answer(ticket, PGW_REFUSAL_COUNT);
         }
--- a/tests/unit/test_cache.c
+++ b/tests/unit/test_cache.c
@@ -18,7 +18,7 @@
     g_assert_true(pgw_level_chain_init(chain, &salt, prompt, sizeof(prompt),
                                        NULL, 0, 4));
     g_assert_true(pgw_cache_set_engine(cache, &source, 2));
-    pgw_cache_note_request(cache, &request, chain, &salt, 3);
+    pgw_cache_record_request(cache, &request, chain, &salt, 3);
     pgw_cache_apply(cache, &source, events, 2, 2, 4);
     return cache;
 }
@@ -48,9 +48,9 @@
     struct pgw_cache_stats stats;
     uint32_t hint;
 
-    pgw_cache_note_request(cache, &request, &chain, &salt, 5);
+    pgw_cache_record_request(cache, &request, &chain, &salt, 5);
     pgw_cache_apply(cache, &source, &gone, 1, 3, 6);
-    pgw_cache_note_answer(cache, &request, &source, 16, 7);
+    pgw_cache_record_first_token(cache, &request, &source, 16, 7);
     g_assert_cmpuint(pgw_cache_match(cache, "labels", &chain, 8, &hint), ==,
                      0);
     g_assert_cmpuint(hint, ==, 32);
@@ -69,15 +69,15 @@
     struct pgw_cache *cache = view_with_prompt(&chain);
     struct pgw_cache_block list[] = {{12, 11}, {11, 0}};
 
-    g_assert_false(pgw_cache_wants_sync(cache, 5));
+    g_assert_false(pgw_cache_sync_is_due(cache, 5));
     pgw_cache_apply(cache, &source, NULL, 0, 5, 6);
     g_assert_cmpuint(pgw_cache_match(cache, "labels", &chain, 7, NULL), ==, 0);
-    g_assert_true(pgw_cache_wants_sync(cache, 8));
-    g_assert_false(pgw_cache_wants_sync(cache, 9));
+    g_assert_true(pgw_cache_sync_is_due(cache, 8));
+    g_assert_false(pgw_cache_sync_is_due(cache, 9));
     g_assert_false(pgw_cache_sync(cache, &source, 4, list, 2, 10));
-    g_assert_true(pgw_cache_wants_sync(cache, 2000000));
+    g_assert_true(pgw_cache_sync_is_due(cache, 2000000));
     g_assert_true(pgw_cache_sync(cache, &source, 5, list, 2, 2000001));
-    g_assert_false(pgw_cache_wants_sync(cache, 9000000));
+    g_assert_false(pgw_cache_sync_is_due(cache, 9000000));
     g_assert_cmpuint(pgw_cache_match(cache, "labels", &chain, 9000000, NULL),
                      ==, 32);
     pgw_cache_free(cache);
