--- a/bench/microbench/cache.c
+++ b/bench/microbench/cache.c
@@ -31,7 +31,7 @@
     (void)pgw_level_chain_init(&state->chain, &salt, prompt,
                                (size_t)PROMPT_BLOCKS * BYTES_PER_BLOCK, ends,
                                G_N_ELEMENTS(ends), 4);
-    pgw_cache_note_request(state->cache, &request, &state->chain, &salt, 2);
+    pgw_cache_record_request(state->cache, &request, &state->chain, &salt, 2);
     for (uint32_t i = 0; i < PROMPT_BLOCKS; i++) {
         struct pgw_cache_event event = {
             .seq = ++state->seq,
--- a/include/parsleygw/cache.h
+++ b/include/parsleygw/cache.h
@@ -11,25 +11,25 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: What an engine's prefix cache holds
+ * DOC: View of an engine's prefix cache
  *
- * Kept by the sidecar from its engine's events, which come late and with
- * gaps. Two grades are kept apart: *certain* means that the engine's own
- * events up to the last one say so without a gap; a *hint* is likely, bounded
- * in time, and only ever steers placement. Neither outlives the engine's
- * incarnation or its weights version. Not thread-safe.
+ * The sidecar builds the view from its engine's events, which may arrive late
+ * and with gaps. The view keeps two grades of knowledge. A *certain* block is
+ * cached according to the engine's events up to the last one, without a gap. A
+ * *hint* is likely, expires, and is used for placement only. Both end with the
+ * engine's incarnation or weights version. Not thread-safe.
  */
 
 struct pgw_cache;
 
 /**
- * struct pgw_cache_options - limits
- * @blocks: most blocks to know, the engine's own capacity
- * @levels: most levels to know
- * @requests: most requests whose events may still come
- * @block_tokens: tokens in a block
- * @hint_us: how long a hint counts
- * @sync_interval_us: least time between two wishes to read all blocks
+ * struct pgw_cache_options - limits of a view
+ * @blocks: maximum number of blocks, the capacity of the engine
+ * @levels: maximum number of levels
+ * @requests: maximum number of requests whose events may still arrive
+ * @block_tokens: tokens per block
+ * @hint_us: lifetime of a hint
+ * @sync_interval_us: minimum time between two reads of the block list
  */
 struct pgw_cache_options {
     size_t blocks;
@@ -48,19 +48,19 @@
     }
 
 /**
- * struct pgw_cache_source - who said it, and when it was asked
- * @incarnation: the engine's, as it gave it in the answer
- * @version: the weights version that it gave
- * @asked: when the question was sent, microseconds of the clock of all calls
+ * struct pgw_cache_source - origin of a response of the engine
+ * @incarnation: the engine's incarnation in the response
+ * @version: the engine's weights version in the response
+ * @requested_us: when the request for it was sent, on the clock of all calls
  *
- * An answer that differs from what is known is news if it was asked for after
- * that became known. Otherwise either may be the later one: everything is
- * forgotten until an answer to a later question settles it.
+ * A response with another incarnation or version than the view's is newer if
+ * it was requested after the view learned its own. Otherwise their order is
+ * unknown, and the view is reset until the response to a later request.
  */
 struct pgw_cache_source {
     uint64_t incarnation;
     const char *version;
-    uint64_t asked;
+    uint64_t requested_us;
 };
 
 enum pgw_cache_kind {
@@ -72,10 +72,10 @@
 
 /**
  * struct pgw_cache_event - one event of the engine
- * @seq: number, from 1 in each incarnation
- * @kind: what happened
- * @request: who stored or used the block
- * @block: the block, unless cleared
+ * @seq: sequence number, from 1 in each incarnation
+ * @kind: kind of event
+ * @request: request that stored or used the block
+ * @block: the block; unused for %PGW_CACHE_CLEARED
  * @parent: the block before it, 0 for a first block
  * @end_token: tokens from the prompt's start to the block's end
  */
@@ -89,7 +89,7 @@
 };
 
 /**
- * struct pgw_cache_block - one line of the engine's list of all blocks
+ * struct pgw_cache_block - one item of the engine's block list
  * @block: the block
  * @parent: the block before it, 0 for a first block
  */
@@ -100,17 +100,17 @@
 
 /**
  * struct pgw_cache_stats - counters and sizes
- * @blocks: blocks held now, absent parents included
- * @levels: levels held now
- * @events: events taken
- * @late: events or answers dropped as late or doubled
- * @gaps: losses seen in the sequence
- * @syncs: lists of all blocks taken
- * @forgets: times that everything was dropped
- * @overcounted: tokens that were certain when a request was sent and that
- *     the engine then had evicted already
- * @bytes: heap bytes held by blocks, levels and requests, without the
- *     allocator's own overhead
+ * @blocks: blocks in the view, including absent parents
+ * @levels: levels in the view
+ * @events: events applied
+ * @late: late or duplicate events, and late responses that were dropped
+ * @gaps: gaps detected in the sequence
+ * @syncs: block lists applied
+ * @resets: times that the view was emptied
+ * @overestimated_tokens: tokens that were certain when a request was sent but
+ *     that the engine had already evicted
+ * @bytes: heap bytes of blocks, levels and requests, without the overhead of
+ *     the allocator
  */
 struct pgw_cache_stats {
     size_t blocks;
@@ -119,13 +119,13 @@
     uint64_t late;
     uint64_t gaps;
     uint64_t syncs;
-    uint64_t forgets;
-    uint64_t overcounted;
+    uint64_t resets;
+    uint64_t overestimated_tokens;
     size_t bytes;
 };
 
 /**
- * pgw_cache_new() - make an empty view that knows no engine yet
+ * pgw_cache_new() - create an empty view without an engine
  * @options: limits, NULL for the defaults
  */
 struct pgw_cache *pgw_cache_new(const struct pgw_cache_options *options);
@@ -133,146 +133,148 @@
 void pgw_cache_free(struct pgw_cache *cache);
 
 /**
- * pgw_cache_set_engine() - an engine said who it is (any answer says so)
+ * pgw_cache_set_engine() - set the engine from the source of any response
  * @cache: the view
- * @source: what it said
- * @now: microseconds
+ * @source: the source
+ * @now_us: current time
  *
- * Everything is forgotten when the incarnation or the version is a new one.
+ * Empties the view when the incarnation or the version changes.
  *
- * Return: false if the answer is late and must not be used.
+ * Return: false if the response is late and must not be used.
  */
 bool pgw_cache_set_engine(struct pgw_cache *cache,
-                          const struct pgw_cache_source *source, uint64_t now);
+                          const struct pgw_cache_source *source,
+                          uint64_t now_us);
 
 /**
- * pgw_cache_lose_engine() - the engine is known to be dead
+ * pgw_cache_clear_engine() - empty the view after the engine has died
  * @cache: the view
- * @now: microseconds; answers asked for before this are dropped
- *
- * Forgets everything at once.
+ * @now_us: current time; responses requested before it are dropped
  */
-void pgw_cache_lose_engine(struct pgw_cache *cache, uint64_t now);
+void pgw_cache_clear_engine(struct pgw_cache *cache, uint64_t now_us);
 
 /**
- * pgw_cache_incarnation() - the engine's incarnation, 0 while none is known
+ * pgw_cache_incarnation() - the engine's incarnation, 0 without an engine
  * @cache: the view
  */
 uint64_t pgw_cache_incarnation(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_version() - the engine's weights version, "" while none is known
+ * pgw_cache_version() - the engine's weights version, "" without an engine
  * @cache: the view
  */
 const char *pgw_cache_version(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_last_seq() - last event taken: ask for those after it
+ * pgw_cache_last_seq() - last applied event; request the events after it
  * @cache: the view
  */
 uint64_t pgw_cache_last_seq(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_true_seq() - event as of which the certain blocks are true
+ * pgw_cache_certain_seq() - event up to which the certain blocks are current
  * @cache: the view
  *
- * Beyond pgw_cache_last_seq() after a list of all blocks that was newer than
- * the events: those still come, and tell what the listed blocks are.
+ * Greater than pgw_cache_last_seq() after a block list that was newer than the
+ * events. The missing events still arrive and link the listed blocks to
+ * levels.
  */
-uint64_t pgw_cache_true_seq(const struct pgw_cache *cache);
+uint64_t pgw_cache_certain_seq(const struct pgw_cache *cache);
 
 /**
- * pgw_cache_note_request() - a request goes to the engine now
+ * pgw_cache_record_request() - record that a request is sent to the engine
  * @cache: the view
- * @request: its identity, as the engine's events will name it
+ * @request: its identity in the engine's events
  * @chain: its levels
- * @salt: what @chain was salted with
- * @now: microseconds
+ * @salt: the salt of @chain
+ * @now_us: current time
  *
  * Ignored when @salt names another version than the engine's.
  */
-void pgw_cache_note_request(struct pgw_cache *cache,
-                            const struct pgw_request_id *request,
-                            const struct pgw_level_chain *chain,
-                            const struct pgw_level_salt *salt, uint64_t now);
+void pgw_cache_record_request(struct pgw_cache *cache,
+                              const struct pgw_request_id *request,
+                              const struct pgw_level_chain *chain,
+                              const struct pgw_level_salt *salt,
+                              uint64_t now_us);
 
 /**
- * pgw_cache_note_answer() - a request's first token came
+ * pgw_cache_record_first_token() - record the first token of a response
  * @cache: the view
- * @request: its identity
- * @source: the answer's headers; @asked is when the request was sent
- * @cached_tokens: usage.cached_tokens of the answer
- * @now: microseconds
+ * @request: the request's identity
+ * @source: from the response's headers; @requested_us is when the request was
+ *     sent
+ * @cached_tokens: usage.cached_tokens of the response
+ * @now_us: current time
  *
- * The prompt has been computed, so its levels are hints from now on until the
- * events confirm them.
+ * The prompt has been prefilled, so its levels become hints until events
+ * confirm them.
  */
-void pgw_cache_note_answer(struct pgw_cache *cache,
-                           const struct pgw_request_id *request,
-                           const struct pgw_cache_source *source,
-                           uint32_t cached_tokens, uint64_t now);
+void pgw_cache_record_first_token(struct pgw_cache *cache,
+                                  const struct pgw_request_id *request,
+                                  const struct pgw_cache_source *source,
+                                  uint32_t cached_tokens, uint64_t now_us);
 
 /**
- * pgw_cache_apply() - take a batch of events
+ * pgw_cache_apply() - apply a batch of events
  * @cache: the view
- * @source: who sent it
- * @events: in any order; sorted here
- * @n: their number
- * @last: the engine's last sequence number, 0 if not said; a value beyond
- *     the batch and what is known is a loss, too
- * @now: microseconds
+ * @source: source of the batch
+ * @events: in any order; sorted in place
+ * @n: number of events
+ * @last: the engine's last sequence number, 0 if unknown; a value beyond the
+ *     batch and the view is a gap too
+ * @now_us: current time
  */
 void pgw_cache_apply(struct pgw_cache *cache,
                      const struct pgw_cache_source *source,
                      struct pgw_cache_event *events, size_t n, uint64_t last,
-                     uint64_t now);
+                     uint64_t now_us);
 
 /**
- * pgw_cache_sync() - take the engine's list of all blocks
+ * pgw_cache_sync() - apply the engine's list of all blocks
  * @cache: the view
- * @source: who sent it
- * @seq: the event as of which the list is true
+ * @source: source of the list
+ * @seq: last event that the list includes
  * @blocks: the list, in any order
- * @n: its length
- * @now: microseconds
+ * @n: number of blocks
+ * @now_us: current time
  *
- * Return: false if it is late (older than events taken since) and another one
- * must be asked for.
+ * Return: false if the list is older than the view, so that another one must
+ * be requested.
  */
 bool pgw_cache_sync(struct pgw_cache *cache,
                     const struct pgw_cache_source *source, uint64_t seq,
                     const struct pgw_cache_block *blocks, size_t n,
-                    uint64_t now);
+                    uint64_t now_us);
 
 /**
- * pgw_cache_wants_sync() - whether to read the list of all blocks now
+ * pgw_cache_sync_is_due() - whether to request the block list now
  * @cache: the view
- * @now: microseconds
+ * @now_us: current time
  *
- * True after a loss, at most once in the options' sync interval; the call
+ * True after a gap, at most once per sync interval of the options; the call
  * that returns true starts a new interval.
  */
-bool pgw_cache_wants_sync(struct pgw_cache *cache, uint64_t now);
+bool pgw_cache_sync_is_due(struct pgw_cache *cache, uint64_t now_us);
 
 /**
- * pgw_cache_match() - prompt tokens that the engine holds for a chain
+ * pgw_cache_match() - prompt tokens that the engine has cached for a chain
  * @cache: the view
- * @workspace: who asks; levels that others stored never count
+ * @workspace: the requesting workspace; levels of other workspaces never match
  * @chain: the levels
- * @now: microseconds
- * @hint_tokens: receives the longest likely prefix, at least the returned
- *     one; may be NULL
+ * @now_us: current time
+ * @hint_tokens: receives the longest likely prefix in tokens, at least the
+ *     returned one; may be NULL
  *
  * Return: the longest certain prefix in tokens.
  */
 uint32_t pgw_cache_match(const struct pgw_cache *cache, const char *workspace,
-                         const struct pgw_level_chain *chain, uint64_t now,
+                         const struct pgw_level_chain *chain, uint64_t now_us,
                          uint32_t *hint_tokens);
 
 /**
- * pgw_cache_last_block() - deepest block held for a chain, for KV export
+ * pgw_cache_last_block() - deepest certain block of a chain, for KV export
  * @cache: the view
- * @workspace: who asks
+ * @workspace: the requesting workspace
  * @chain: the levels
  *
  * Return: the block that ends the certain prefix, 0 if there is none.
@@ -282,8 +284,8 @@
                               const struct pgw_level_chain *chain);
 
 /**
- * pgw_cache_stats_get() - read the counters
- * @out: receives them
+ * pgw_cache_stats_get() - read the counters and sizes
+ * @out: receives the counters and sizes
  * @cache: the view
  */
 void pgw_cache_stats_get(struct pgw_cache_stats *out,
--- a/include/parsleygw/copies.h
+++ b/include/parsleygw/copies.h
@@ -30,7 +30,7 @@
 void pgw_copies_free(struct pgw_copies *copies);
 
 /**
- * pgw_copies_ask() - an entry is about to place a request
+ * pgw_copies_register() - an entry is about to place a request
  * @copies: machine of the sidecar that ranks first
  * @fingerprint: of the request
  * @until_us: the request's deadline: it runs nowhere after it
@@ -39,17 +39,19 @@
  * Return: true when it must come here: another copy may run elsewhere and none
  * has ended well here.
  */
-bool pgw_copies_ask(struct pgw_copies *copies,
-                    const struct pgw_fingerprint *fingerprint,
-                    uint64_t until_us, uint64_t now_us);
+bool pgw_copies_register(struct pgw_copies *copies,
+                         const struct pgw_fingerprint *fingerprint,
+                         uint64_t until_us, uint64_t now_us);
 
-/** pgw_copies_prove() - a copy ended well here: others may run anywhere */
-void pgw_copies_prove(struct pgw_copies *copies,
-                      const struct pgw_fingerprint *fingerprint);
+/** pgw_copies_mark_completed() - a copy ended well here: others may run
+ * anywhere */
+void pgw_copies_mark_completed(struct pgw_copies *copies,
+                               const struct pgw_fingerprint *fingerprint);
 
-/** pgw_copies_doubt() - a copy crashed the upstream here, proven or not */
-void pgw_copies_doubt(struct pgw_copies *copies,
-                      const struct pgw_fingerprint *fingerprint);
+/** pgw_copies_mark_crashed() - a copy crashed the upstream here, proven or not
+ */
+void pgw_copies_mark_crashed(struct pgw_copies *copies,
+                             const struct pgw_fingerprint *fingerprint);
 
 /** pgw_copies_size() - fingerprints kept */
 uint32_t pgw_copies_size(const struct pgw_copies *copies);
--- a/include/parsleygw/level.h
+++ b/include/parsleygw/level.h
@@ -11,10 +11,11 @@
 /**
  * DOC: Levels of a prompt
  *
- * Long prompts are nested: rulebook, tenant, menu, question. A level is a
- * prefix of the prompt that ends at one of these cuts. Its hash covers the
- * salt and every byte from the prompt's start, so two prompts have a level in
- * common exactly when they share that prefix and all four salts.
+ * Long prompts are nested, for example rulebook, tenant, menu and question. A
+ * level is a prefix of the prompt that ends at one of these boundaries. Its
+ * hash covers the salt and every byte from the start of the prompt, so two
+ * prompts have a level in common exactly when they share that prefix and all
+ * four fields of the salt.
  */
 
 #define PGW_LEVEL_MAX 8
@@ -37,8 +38,9 @@
 
 /**
  * struct pgw_level_chain - the levels of one prompt, outermost first
- * @count: levels in use, 0 only for an empty prompt
- * @levels: strictly growing prefixes; the last one is the whole prompt
+ * @count: number of levels, 0 only for an empty prompt
+ * @levels: prefixes of strictly increasing length; the last one is the whole
+ *     prompt
  * @prompt_tokens: length of the prompt in tokens, rounded up
  */
 struct pgw_level_chain {
@@ -48,7 +50,7 @@
 };
 
 /**
- * struct pgw_level_salt - what separates caches that may not be shared
+ * struct pgw_level_salt - scope within which cached prompts may be shared
  * @workspace: the workspace's name, never empty
  * @model: the model's name, never empty
  * @adapter: the adapter's name, empty for none
@@ -62,19 +64,18 @@
 };
 
 /**
- * pgw_level_chain_init() - cut a prompt at its levels and hash them
+ * pgw_level_chain_init() - split a prompt into levels and hash them
  * @out: receives the chain
- * @salt: all four fields set; always part of every hash
+ * @salt: all four fields set; part of every hash
  * @prompt: the prompt's bytes
  * @len: its length in bytes
- * @boundaries: ends of levels in bytes, ascending; values that are 0, past
+ * @boundaries: ends of levels in bytes, ascending; values that are 0, beyond
  *     the prompt or not ascending are ignored
- * @n: number of @boundaries; 0 makes the chain of an unmarked prompt, cut at
- *     doubling sizes
+ * @n: number of @boundaries; 0 splits an unmarked prompt at doubling sizes
  * @bytes_per_token: the pool's average, at least 1
  *
- * Return: false, with an empty @out, if a salt is missing or the prompt is
- * longer than 4 GiB - 1.
+ * Return: false, with an empty @out, if a field of the salt is missing or the
+ * prompt is longer than 4 GiB - 1.
  */
 bool pgw_level_chain_init(struct pgw_level_chain *out,
                           const struct pgw_level_salt *salt,
@@ -83,15 +84,15 @@
                           uint32_t bytes_per_token);
 
 /**
- * pgw_level_boundaries() - find the ends of levels by an explicit marker
- * @out: receives ascending ends in bytes, each just behind a marker
- * @max: room in @out, at least 1
+ * pgw_level_boundaries() - find the ends of levels by a marker
+ * @out: receives ascending ends in bytes, each directly after a marker
+ * @max: capacity of @out, at least 1
  * @prompt: the prompt's bytes
  * @len: its length in bytes
  * @marker: the profile's level marker; NULL or empty finds nothing
  *
- * Where there are more markers than room, the first half and the last half
- * are kept and the ones between are merged (see pgw_level_boundaries_merge()).
+ * If there are more than @max markers, half of @max from either end are kept
+ * and the levels between them are merged (see pgw_level_boundaries_merge()).
  *
  * Return: the number of ends written.
  */
@@ -99,30 +100,31 @@
                             size_t len, const char *marker);
 
 /**
- * pgw_level_boundaries_merge() - reduce many boundaries to a few, in place
+ * pgw_level_boundaries_merge() - reduce the number of boundaries in place
  * @boundaries: ascending ends in bytes, such as the ends of chat messages
- * @n: their number
- * @max: how many may stay, at least 1
+ * @n: number of boundaries
+ * @max: maximum number to keep, at least 1
  *
- * Keeps the outermost ones, which most requests share, and the innermost
+ * Keeps the outermost boundaries, which most requests share, and the innermost
  * ones, which the next turn of the same conversation shares.
  *
- * Return: the number that stayed.
+ * Return: the number of boundaries kept.
  */
 size_t pgw_level_boundaries_merge(uint32_t *boundaries, size_t n, size_t max);
 
 /**
- * pgw_level_cache_salt() - the salt that the engine mixes into its blocks
+ * pgw_level_cache_salt() - salt that the engine mixes into its block hashes
  * @out: receives 32 hexadecimal digits and a NUL
  * @salt: all four fields set
  *
- * Return: false, with an empty string in @out, if a salt is missing.
+ * Return: false, with an empty string in @out, if a field of the salt is
+ * missing.
  */
 bool pgw_level_cache_salt(char out[PGW_LEVEL_CACHE_SALT_SIZE],
                           const struct pgw_level_salt *salt);
 
 /**
- * pgw_level_workspace_hash() - 64-bit identity of a workspace
+ * pgw_level_workspace_hash() - 64-bit hash of a workspace's name
  * @workspace: the workspace's name
  */
 uint64_t pgw_level_workspace_hash(const char *workspace);
--- a/include/parsleygw/place.h
+++ b/include/parsleygw/place.h
@@ -12,20 +12,20 @@
 /**
  * DOC: Placement
  *
- * Two pure steps. Ranking orders the pool's upstreams for a chain of levels
- * from the pool and the chain alone, so all entries rank alike and none needs
- * state. Choosing picks one of the first ranks from what their sidecars
- * answered.
+ * Placement has two steps, both pure functions. Ranking orders the pool's
+ * upstreams for a chain of levels. It depends on the pool and the chain alone,
+ * so all entries compute the same order without shared state. Choosing picks
+ * one of the first ranks from the probe replies of their sidecars.
  */
 
-/* No ranking is longer than this; a longer @k is cut down to it. */
+/* Maximum length of a ranking; a larger @k is clamped to it. */
 #define PGW_PLACE_RANK_MAX 32
 
 /**
- * struct pgw_place_node - one upstream as ranking sees it
+ * struct pgw_place_node - ranking input for one upstream
  * @id_hash: pgw_place_id_hash() of its name
  * @zone: number of its availability zone
- * @usable: joined, not leaving, connected
+ * @usable: registered, connected and not draining
  */
 struct pgw_place_node {
     uint64_t id_hash;
@@ -34,21 +34,23 @@
 };
 
 /**
- * struct pgw_place_candidate - what is known of one ranked upstream
+ * struct pgw_place_candidate - state of one ranked upstream
  * @index: its index among the nodes
- * @answered: the other fields are a sidecar's word, not defaults
- * @matched_tokens: prompt tokens that its engine holds
- * @queued_tokens: prompt tokens waiting for or in prefill there
- * @running: requests running
- * @waiting: requests waiting
- * @ttft_us: sidecar's estimate for this request, 0: not known
- * @refuses: it would refuse this request now
- * @leaving: it takes no new work
- * @gather: first in rank and asked to have the request (copies.h)
- * @same_zone: it is in the entry's availability zone
- * @age_us: age of the answer
- * @charged_tokens: uncached tokens that this entry sent there since the
- *     answer was given (pgw_place_charge_since())
+ * @answered: the other fields come from a sidecar's reply, not from defaults
+ * @matched_tokens: prompt tokens that its engine has cached
+ * @queued_tokens: prompt tokens that wait for prefill or are being prefilled
+ * @running: running requests
+ * @waiting: queued requests
+ * @ttft_us: time to first token that the sidecar estimates for this request,
+ *     0: unknown
+ * @refuses: the sidecar would refuse this request now
+ * @leaving: the upstream is draining and accepts no new requests
+ * @gather: the first-ranked sidecar wants all copies of this request
+ *     (copies.h)
+ * @same_zone: the upstream is in the entry's availability zone
+ * @age_us: age of the reply
+ * @charged_tokens: uncached tokens that this entry sent to the upstream since
+ *     the reply (pgw_place_charge_since())
  */
 struct pgw_place_candidate {
     uint32_t index;
@@ -67,18 +69,18 @@
 };
 
 /**
- * struct pgw_place_weights - how a profile weighs its costs
- * @ttft_weight: 0 (save recomputation) to 1 (shortest time to first token)
+ * struct pgw_place_weights - cost weights of a profile
+ * @ttft_weight: 0 (least recomputation) to 1 (shortest time to first token)
  * @prefill_tokens_per_s: prefill rate of one upstream
- * @zone_cost_us: added for an upstream in another availability zone
- * @lag_us: age at which an answer's load counts half
- * @load_factor: bounded load, times the candidates' mean
- * @rank_weight: cost of each rank further down, as a part of the prefill that
- *     is missing there. Requests for a new prefix that arrive together see it
- *     cached nowhere and no load: this sends them to one upstream, whatever
- *     zones they come from, and is little once the prefix is cached
- * @queue_weight: cost of recomputation for each request that waits there and
- *     is delayed by it, as a part of the prefill that is missing
+ * @zone_cost_us: cost added for an upstream in a remote zone
+ * @lag_us: age at which the load in a reply has half its weight
+ * @load_factor: load bound as a multiple of the candidates' mean load
+ * @rank_weight: cost per rank, as a fraction of the uncached prefill.
+ *     Concurrent requests for a new prefix see it cached nowhere and no load;
+ *     this cost sends them to the same upstream from every zone. It is small
+ *     once the prefix is cached
+ * @queue_weight: cost per queued request that the recomputation delays, as a
+ *     fraction of the uncached prefill
  */
 struct pgw_place_weights {
     double ttft_weight;
@@ -98,12 +100,12 @@
     }
 
 /**
- * struct pgw_place_choice - the outcome of choosing
- * @found: some candidate can take the request
- * @position: its position among the candidates, if found
- * @cost_us: its cost in microseconds
- * @spill: even the best one is over its load bound: ask the next ranks too
- *     and choose again among all of them
+ * struct pgw_place_choice - result of choosing
+ * @found: a candidate can accept the request
+ * @position: index of that candidate, if found
+ * @cost_us: cost of that candidate in microseconds
+ * @spill: even the best candidate exceeds its load bound: probe the next ranks
+ *     too and choose again among all of them
  */
 struct pgw_place_choice {
     bool found;
@@ -113,7 +115,7 @@
 };
 
 /**
- * pgw_place_id_hash() - hash of an upstream's name for ranking
+ * pgw_place_id_hash() - hash an upstream's name for ranking
  * @id: the upstream's name
  */
 uint64_t pgw_place_id_hash(const char *id);
@@ -121,10 +123,10 @@
 /**
  * pgw_place_rank() - order upstreams by nested rendezvous hashing
  * @out: receives indexes into @nodes, best first
- * @k: room in @out
+ * @k: capacity of @out
  * @nodes: the pool
- * @n: its size
- * @chain: the prompt's levels; an empty chain ranks by node alone
+ * @n: number of nodes
+ * @chain: the prompt's levels; an empty chain ranks by node hash alone
  *
  * Return: the number of indexes written: min(@k, usable nodes,
  * %PGW_PLACE_RANK_MAX).
@@ -134,16 +136,16 @@
                       const struct pgw_level_chain *chain);
 
 /**
- * pgw_place_choose() - take the candidate of lowest cost
+ * pgw_place_choose() - choose the candidate of lowest cost
  * @out: receives the choice
  * @candidates: in order of rank
- * @n: their number
- * @weights: the profile's
+ * @n: number of candidates
+ * @weights: the profile's weights
  * @prompt_tokens: length of the prompt
- * @random: any random number; settles ties of stale answers
+ * @random: a random number; varies the expected wait behind stale replies
  *
- * Candidates without an answer are taken, in order of rank, only when no
- * answered one can take the request.
+ * A candidate without a reply is chosen, in order of rank, only when no
+ * candidate with a reply can accept the request.
  */
 void pgw_place_choose(struct pgw_place_choice *out,
                       const struct pgw_place_candidate *candidates, size_t n,
@@ -151,41 +153,44 @@
                       uint32_t prompt_tokens, uint64_t random);
 
 /**
- * pgw_place_gather() - where a copy of an unproven request goes (copies.h)
+ * pgw_place_choose_first_available() - place a copy of a request of which none
+ * has completed yet (copies.h)
  * @out: receives the choice
  * @candidates: in order of rank
- * @n: their number
+ * @n: number of candidates
  *
- * Return: false when the first candidate does not ask for it; else @out names
- * the first in rank that takes work, the same one for all entries.
+ * Return: false when the first candidate does not set @gather; else @out has
+ * the first candidate that accepts requests, the same one for all entries.
  */
-bool pgw_place_gather(struct pgw_place_choice *out,
-                      const struct pgw_place_candidate *candidates, size_t n);
+bool
+pgw_place_choose_first_available(struct pgw_place_choice *out,
+                                 const struct pgw_place_candidate *candidates,
+                                 size_t n);
 
 /**
- * pgw_place_is_settled() - no missing answer could change much
- * @candidates: in order of rank, some of them answered
- * @n: their number
- * @weights: the profile's
+ * pgw_place_is_settled() - whether choosing need not wait for more replies
+ * @candidates: in order of rank, some of them with a reply
+ * @n: number of candidates
+ * @weights: the profile's weights
  * @chain: the prompt's levels
  *
- * Return: true if an answered candidate holds all that requests share of the
- * prompt and has next to no queue.
+ * Return: true if a candidate with a reply has cached all of the prompt that
+ * is shared with other requests, and its queue is almost empty.
  */
 bool pgw_place_is_settled(const struct pgw_place_candidate *candidates,
                           size_t n, const struct pgw_place_weights *weights,
                           const struct pgw_level_chain *chain);
 
 /**
- * struct pgw_place_policy - a way to place requests
- * @name: as settings and the bench name it
- * @probes: candidates to ask before choosing, 0: all (up to
+ * struct pgw_place_policy - a placement policy
+ * @name: name in settings and in the bench
+ * @probes: candidates to probe before choosing, 0: all (up to
  *     %PGW_PLACE_RANK_MAX)
  * @fixed_probes: the setting probe_fanout does not replace @probes
- * @rounds: times that further ranks are asked, twice as many each time
- * @rank: as pgw_place_rank(), with @turn counting the entry's requests
+ * @rounds: maximum number of probe rounds; each doubles the number of probes
+ * @rank: as pgw_place_rank(); @request_number counts the entry's requests
  * @choose: as pgw_place_choose()
- * @settled: as pgw_place_is_settled(), NULL to wait for all answers
+ * @settled: as pgw_place_is_settled(), NULL to wait for all replies
  */
 struct pgw_place_policy {
     const char *name;
@@ -194,7 +199,7 @@
     unsigned rounds;
     size_t (*rank)(uint32_t *out, size_t k, const struct pgw_place_node *nodes,
                    size_t n, const struct pgw_level_chain *chain,
-                   uint64_t turn);
+                   uint64_t request_number);
     void (*choose)(struct pgw_place_choice *out,
                    const struct pgw_place_candidate *candidates, size_t n,
                    const struct pgw_place_weights *weights,
@@ -205,7 +210,7 @@
 };
 
 /**
- * pgw_place_policy_find() - look a policy up
+ * pgw_place_policy_find() - look up a policy
  * @name: "parsleygw", an earlier version of it ("parsleygw-v1" to
  *     "parsleygw-v4"), "hash", "least-loaded" or "round-robin"
  *
@@ -217,11 +222,13 @@
 #define PGW_PLACE_CHARGE_SLOT_US 62500
 
 /**
- * struct pgw_place_charge - what one entry sent to one upstream of late
+ * struct pgw_place_charge - tokens that one entry recently sent to one
+ * upstream
  * @slot: number of the time slot that each sum belongs to
  * @tokens: uncached tokens sent in that slot
  *
- * Zeroed is empty. Covers the last two seconds. The caller serialises access.
+ * A zeroed struct is empty. Covers the last two seconds. The caller serialises
+ * access.
  */
 struct pgw_place_charge {
     uint32_t slot[PGW_PLACE_CHARGE_SLOTS];
@@ -229,30 +236,30 @@
 };
 
 /**
- * pgw_place_charge_add() - note tokens sent to the upstream
- * @charge: the upstream's
+ * pgw_place_charge_add() - add tokens sent to the upstream
+ * @charge: charge of the upstream
  * @tokens: uncached prompt tokens expected there
- * @now: microseconds, any fixed origin
+ * @now_us: microseconds, any fixed origin
  */
 void pgw_place_charge_add(struct pgw_place_charge *charge, uint32_t tokens,
-                          uint64_t now);
+                          uint64_t now_us);
 
 /**
- * pgw_place_charge_remove() - take back tokens whose request has ended
- * @charge: the upstream's
- * @tokens: as added
- * @sent: the time given to pgw_place_charge_add()
+ * pgw_place_charge_remove() - subtract the tokens of a request that has ended
+ * @charge: charge of the upstream
+ * @tokens: number that was added
+ * @sent_us: the time given to pgw_place_charge_add()
  */
 void pgw_place_charge_remove(struct pgw_place_charge *charge, uint32_t tokens,
-                             uint64_t sent);
+                             uint64_t sent_us);
 
 /**
- * pgw_place_charge_since() - tokens sent at or after a report's time
- * @charge: the upstream's
- * @reported: when the report was true, in the time of pgw_place_charge_add()
+ * pgw_place_charge_since() - tokens sent at or after the time of a report
+ * @charge: charge of the upstream
+ * @reported_us: time of the report, on the clock of pgw_place_charge_add()
  */
 uint32_t pgw_place_charge_since(const struct pgw_place_charge *charge,
-                                uint64_t reported);
+                                uint64_t reported_us);
 
 G_END_DECLS
 
--- a/include/parsleygw/retry.h
+++ b/include/parsleygw/retry.h
@@ -10,16 +10,17 @@
 /**
  * DOC: Retry budget and backoff
  *
- * Retries are a share of traffic: each first attempt pays a part of a token
- * into a bucket and each retry takes a whole one out. When a zone dies every
- * caller's request fails at once; with a count per request the survivors would
- * get a multiple of the load, with a share they get at most that share more.
+ * The budget limits retries to a share of the traffic. Each first attempt
+ * deposits a fraction of a token into a bucket and each retry withdraws a
+ * whole token. When a zone fails, all its requests fail at once. With a retry
+ * limit per request the other zones would get a multiple of their load; with
+ * the budget they get at most the share in addition.
  */
 
 /**
- * struct pgw_retry_options - limits of one bucket
+ * struct pgw_retry_options - options of a budget
  * @share_permille: retries allowed for 1000 first attempts
- * @burst: most tokens kept, also the tokens at the start
+ * @burst: capacity in tokens; the bucket starts full
  */
 struct pgw_retry_options {
     uint32_t share_permille;
@@ -31,14 +32,14 @@
         .share_permille = 200, .burst = 100                                   \
     }
 
-/** struct pgw_retry_budget - a bucket; safe for any number of threads */
+/** struct pgw_retry_budget - a token bucket; thread-safe */
 struct pgw_retry_budget;
 
 /**
- * pgw_retry_budget_new() - make a full bucket
+ * pgw_retry_budget_new() - create a full bucket
  * @options: copied
  *
- * Return: to be freed with pgw_retry_budget_free().
+ * Return: the bucket; free it with pgw_retry_budget_free().
  */
 struct pgw_retry_budget *
 pgw_retry_budget_new(const struct pgw_retry_options *options);
@@ -46,21 +47,21 @@
 /** pgw_retry_budget_free() - free a bucket; NULL is allowed */
 void pgw_retry_budget_free(struct pgw_retry_budget *budget);
 
-/** pgw_retry_budget_set_burst() - another size; what is beyond it is lost */
+/** pgw_retry_budget_set_burst() - set the capacity; drops tokens beyond it */
 void pgw_retry_budget_set_burst(struct pgw_retry_budget *budget,
                                 uint32_t burst);
 
-/** pgw_retry_budget_deposit() - account one first attempt */
+/** pgw_retry_budget_deposit() - deposit the share of one first attempt */
 void pgw_retry_budget_deposit(struct pgw_retry_budget *budget);
 
 /**
- * pgw_retry_budget_withdraw() - ask for one retry
+ * pgw_retry_budget_withdraw() - withdraw the token for one retry
  *
- * Return: false when the share is used up; the request is then refused.
+ * Return: false when no token is left; the caller must not retry then.
  */
 bool pgw_retry_budget_withdraw(struct pgw_retry_budget *budget);
 
-/** pgw_retry_budget_tokens() - whole tokens left, for metrics */
+/** pgw_retry_budget_tokens() - number of whole tokens left, for metrics */
 uint32_t pgw_retry_budget_tokens(const struct pgw_retry_budget *budget);
 
 /**
@@ -80,12 +81,12 @@
 
 /**
  * pgw_retry_backoff_us() - exponential backoff with full jitter
- * @backoff: bounds
+ * @backoff: bounds of the wait
  * @failures: failures so far; 1 after the first
  * @random: 64 random bits
  *
- * Return: a wait in microseconds, evenly spread from 0 to the bound, so that
- * clients that failed together do not come back together.
+ * Return: a wait in microseconds, uniformly distributed from 0 to the bound,
+ * so that clients that failed together do not retry together.
  */
 uint64_t pgw_retry_backoff_us(const struct pgw_retry_backoff *backoff,
                               uint32_t failures, uint64_t random);
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -61,7 +61,7 @@
 struct lost_marks {
     uint64_t engine;
     uint64_t crash;
-    struct pgw_fingerprint marks[PGW_LOSS_MARKS_MAX];
+    struct pgw_fingerprint marks[PGW_LOSS_SUSPECTS_MAX];
     uint32_t count;
     struct pgw_list asked;
 };
--- a/src/entry/lost.c
+++ b/src/entry/lost.c
@@ -138,8 +138,8 @@
     if (!upstream->greeted || upstream->is_seed) {
         return;
     }
-    if (!pgw_loss_judge(&marks, &entry->loss, count_candidates(upstream),
-                        pgw_now_us())) {
+    if (!pgw_loss_record_break(&marks, &entry->loss,
+                               count_candidates(upstream), pgw_now_us())) {
         take_back(entry);
     }
 #ifndef PGW_DISABLE_QUARANTINE_LOST
--- a/src/entry/place.c
+++ b/src/entry/place.c
@@ -354,8 +354,8 @@
     stop_probing(exchange);
     refresh(exchange);
     weights.ttft_weight = exchange->request.ttft_weight;
-    if (!pgw_place_gather(&choice, placement->candidates,
-                          placement->n_candidates)) {
+    if (!pgw_place_choose_first_available(&choice, placement->candidates,
+                                          placement->n_candidates)) {
         entry->policy->choose(
             &choice, placement->candidates, placement->n_candidates, &weights,
             exchange->request.chain.prompt_tokens, pgw_random_u64());
--- a/src/libparsleygw/cache.c
+++ b/src/libparsleygw/cache.c
@@ -31,65 +31,67 @@
 }
 
 static void
-forget(struct pgw_cache *cache)
+reset_view(struct pgw_cache *cache)
 {
     pgw_cache__table_clear(&cache->table);
     cache->last_seq = 0;
     cache->list_seq = 0;
     cache->last_event = (struct pgw_cache_event){.seq = 0};
     cache->sync_needed = false;
-    cache->stats.forgets++;
+    cache->stats.resets++;
 }
 
 void
-pgw_cache_lose_engine(struct pgw_cache *cache, uint64_t now)
+pgw_cache_clear_engine(struct pgw_cache *cache, uint64_t now_us)
 {
-    if (cache->known) {
-        forget(cache);
+    if (cache->engine_known) {
+        reset_view(cache);
     }
-    cache->known = false;
+    cache->engine_known = false;
     cache->incarnation = 0;
     g_free(cache->version);
     cache->version = g_strdup("");
-    cache->since = now;
+    cache->engine_set_us = now_us;
 }
 
 static bool
-same_engine(const struct pgw_cache *cache,
-            const struct pgw_cache_source *source)
+is_same_engine(const struct pgw_cache *cache,
+               const struct pgw_cache_source *source)
 {
 #ifdef PGW_DISABLE_CACHE_VERSION
-    return cache->known && cache->incarnation == source->incarnation;
+    return cache->engine_known && cache->incarnation == source->incarnation;
 #elif defined(PGW_DISABLE_CACHE_INCARNATION)
-    return cache->known && g_strcmp0(cache->version, source->version) == 0;
+    return cache->engine_known &&
+           g_strcmp0(cache->version, source->version) == 0;
 #else
-    return cache->known && cache->incarnation == source->incarnation &&
+    return cache->engine_known && cache->incarnation == source->incarnation &&
            g_strcmp0(cache->version, source->version) == 0;
 #endif
 }
 
 /*
- * An engine that crashed or loaded other weights has none of the blocks that
- * it had. Counting them would send requests there for nothing, seen as
- * misses after every restart. Any answer names its incarnation and version,
- * and an answer that was asked for after the known one came can only be from
- * an engine at least as new, so a late answer never brings an old one back.
+ * Failure: an engine crashes or loads other weights and loses its blocks.
+ * Symptom: requests are placed for blocks that are gone and miss the cache
+ * after every restart. Each response names the engine's incarnation and
+ * version. A response requested after the current ones were set is from an
+ * engine at least as new, so a late response never restores an old engine.
  */
 bool
 pgw_cache_set_engine(struct pgw_cache *cache,
-                     const struct pgw_cache_source *source, uint64_t now)
+                     const struct pgw_cache_source *source, uint64_t now_us)
 {
-    if (same_engine(cache, source)) {
+    if (is_same_engine(cache, source)) {
         return true;
     }
-    if (source->asked < cache->since ||
-        (cache->known && source->asked == cache->since)) {
+    if (source->requested_us < cache->engine_set_us ||
+        (cache->engine_known &&
+         source->requested_us == cache->engine_set_us)) {
         cache->stats.late++;
-        pgw_cache_lose_engine(cache, now);
+        pgw_cache_clear_engine(cache, now_us);
         return false;
     }
-    pgw_cache_lose_engine(cache, now);
-    cache->known = true;
+    pgw_cache_clear_engine(cache, now_us);
+    cache->engine_known = true;
     cache->incarnation = source->incarnation;
     g_free(cache->version);
     cache->version = g_strdup(source->version);
@@ -115,70 +117,72 @@
 }
 
 uint64_t
-pgw_cache_true_seq(const struct pgw_cache *cache)
+pgw_cache_certain_seq(const struct pgw_cache *cache)
 {
     return MAX(cache->last_seq, cache->list_seq);
 }
 
 static void
 hint_levels(struct pgw_cache *cache, const struct pgw_cache__request *request,
-            uint64_t now)
+            uint64_t now_us)
 {
     for (size_t i = 0; i < request->chain.count; i++) {
         const struct pgw_level *level = &request->chain.levels[i];
-        struct pgw_cache__level *known =
+        struct pgw_cache__level *cached_level =
             pgw_cache__level_get(&cache->table, level, request->workspace);
 
-        known->hint_until = now + cache->table.options.hint_us;
-        known->hint_tokens =
+        cached_level->hint_until_us = now_us + cache->table.options.hint_us;
+        cached_level->hint_tokens =
             level->end_tokens -
             level->end_tokens % cache->table.options.block_tokens;
     }
 }
 
 void
-pgw_cache_note_request(struct pgw_cache *cache,
-                       const struct pgw_request_id *request,
-                       const struct pgw_level_chain *chain,
-                       const struct pgw_level_salt *salt, uint64_t now)
+pgw_cache_record_request(struct pgw_cache *cache,
+                         const struct pgw_request_id *request,
+                         const struct pgw_level_chain *chain,
+                         const struct pgw_level_salt *salt, uint64_t now_us)
 {
-    struct pgw_cache__request *note;
+    struct pgw_cache__request *recorded;
 
-    if (!cache->known || g_strcmp0(salt->version, cache->version) != 0) {
+    if (!cache->engine_known ||
+        g_strcmp0(salt->version, cache->version) != 0) {
         return;
     }
-    note = pgw_cache__request_get(&cache->table, request);
-    note->workspace = pgw_level_workspace_hash(salt->workspace);
-    note->chain = *chain;
-    note->sure_tokens =
-        pgw_cache_match(cache, salt->workspace, chain, now, NULL);
-    hint_levels(cache, note, now);
+    recorded = pgw_cache__request_get(&cache->table, request);
+    recorded->workspace = pgw_level_workspace_hash(salt->workspace);
+    recorded->chain = *chain;
+    recorded->certain_tokens =
+        pgw_cache_match(cache, salt->workspace, chain, now_us, NULL);
+    hint_levels(cache, recorded, now_us);
 }
 
 void
-pgw_cache_note_answer(struct pgw_cache *cache,
-                      const struct pgw_request_id *request,
-                      const struct pgw_cache_source *source,
-                      uint32_t cached_tokens, uint64_t now)
+pgw_cache_record_first_token(struct pgw_cache *cache,
+                             const struct pgw_request_id *request,
+                             const struct pgw_cache_source *source,
+                             uint32_t cached_tokens, uint64_t now_us)
 {
-    const struct pgw_cache__request *note;
+    const struct pgw_cache__request *recorded;
 
-    if (!pgw_cache_set_engine(cache, source, now)) {
+    if (!pgw_cache_set_engine(cache, source, now_us)) {
         return;
     }
-    note = pgw_cache__request_find(&cache->table, request);
-    if (note == NULL) {
+    recorded = pgw_cache__request_find(&cache->table, request);
+    if (recorded == NULL) {
         return;
     }
-    if (note->sure_tokens > cached_tokens) {
-        cache->stats.overcounted += note->sure_tokens - cached_tokens;
+    if (recorded->certain_tokens > cached_tokens) {
+        cache->stats.overestimated_tokens +=
+            recorded->certain_tokens - cached_tokens;
     }
-    hint_levels(cache, note, now);
+    hint_levels(cache, recorded, now_us);
 }
 
-/* Levels of the request that reach at least to the block's end are known up
- * to this block, unless they are known further. That is true whenever it is
- * heard: it says what the block is, not that it is cached. */
+/* Binds the request's levels that reach at least to the block's end to this
+ * block, unless they are bound to a deeper one. This holds for late events
+ * too, since it says where the block lies, not that it is cached. */
 static void
 bind_levels(struct pgw_cache *cache, const struct pgw_cache_event *event,
             struct pgw_cache__block *block)
@@ -188,14 +192,16 @@
 
     for (size_t i = 0; request != NULL && i < request->chain.count; i++) {
         const struct pgw_level *level = &request->chain.levels[i];
-        struct pgw_cache__level *known;
+        struct pgw_cache__level *cached_level;
 
         if (level->end_tokens < event->end_token) {
             continue;
         }
-        known = pgw_cache__level_get(&cache->table, level, request->workspace);
-        if (known->block == NULL || known->block_end <= event->end_token) {
-            pgw_cache__level_bind(known, block, event->end_token);
+        cached_level =
+            pgw_cache__level_get(&cache->table, level, request->workspace);
+        if (cached_level->block == NULL ||
+            cached_level->block_end <= event->end_token) {
+            pgw_cache__level_bind(cached_level, block, event->end_token);
         }
     }
 }
@@ -231,30 +237,30 @@
 }
 
 /*
- * A lost event may have been an eviction. Blocks known until then would count
- * for ever, seen as hits that never come true. So all of them become hints of
- * bounded time, and the full list is asked for.
+ * Failure: an event is lost that may have been an eviction. Symptom: the block
+ * counts as cached forever and predicted hits miss. All certain blocks become
+ * hints, which expire, and the block list is requested.
  */
 static void
-note_gap(struct pgw_cache *cache, uint64_t now)
+handle_gap(struct pgw_cache *cache, uint64_t now_us)
 {
     cache->stats.gaps++;
 #ifndef PGW_DISABLE_CACHE_GAP
-    pgw_cache__block_doubt_all(&cache->table,
-                               now + cache->table.options.hint_us);
+    pgw_cache__block_downgrade_all(&cache->table,
+                                   now_us + cache->table.options.hint_us);
     cache->sync_needed = true;
 #else
-    (void)now;
+    (void)now_us;
 #endif
 }
 
 static bool
-names_block(const struct pgw_cache_event *event)
+is_stored_or_used(const struct pgw_cache_event *event)
 {
     return event->kind == PGW_CACHE_STORED || event->kind == PGW_CACHE_USED;
 }
 
-/* An event from before the last full list, or a doubled one. */
+/* Applies a duplicate event or one that the last block list includes. */
 static void
 apply_late_event(struct pgw_cache *cache, const struct pgw_cache_event *event)
 {
@@ -262,39 +268,41 @@
         pgw_cache__block_find(&cache->table, event->block);
 
     cache->stats.late++;
-    if (block != NULL && names_block(event)) {
+    if (block != NULL && is_stored_or_used(event)) {
         bind_levels(cache, event, block);
     }
 }
 
 /*
- * Whether what was lost before @event can have been no eviction. Most events
- * name one block after the other of one request, so a loss among them leaves
- * just as many blocks unnamed as numbers are missing:
- * - used blocks are all named, so the lost ones were used;
- * - of stored ones only a single loss is sure: its block must have been
- *   stored just now, since the certain view did not have it.
+ * Whether the events lost before @event cannot have been evictions. Most
+ * events carry consecutive blocks of one request, so a gap among them skips as
+ * many blocks as sequence numbers:
+ * - each used block has an event, so the lost events were for used blocks;
+ * - among stored blocks only a gap of one event is conclusive: its block must
+ *   have been stored just now, since it was not among the certain blocks.
  */
 static bool
-loss_is_harmless(struct pgw_cache *cache, const struct pgw_cache_event *event)
+gap_has_no_eviction(struct pgw_cache *cache,
+                    const struct pgw_cache_event *event)
 {
     const struct pgw_cache_event *last = &cache->last_event;
-    uint64_t lost = event->seq - cache->last_seq - 1;
+    uint64_t lost_count = event->seq - cache->last_seq - 1;
     const struct pgw_cache__block *parent;
 
     if (last->seq != cache->last_seq || last->kind != event->kind ||
-        !names_block(event) ||
+        !is_stored_or_used(event) ||
         memcmp(&last->request, &event->request, sizeof(last->request)) != 0 ||
         event->end_token !=
-            last->end_token + (lost + 1) * cache->table.options.block_tokens) {
+            last->end_token +
+                (lost_count + 1) * cache->table.options.block_tokens) {
         return false;
     }
     if (event->kind == PGW_CACHE_USED) {
         return true;
     }
     parent = pgw_cache__block_find(&cache->table, event->parent);
-    if (lost != 1 || cache->sync_needed ||
-        (parent != NULL && parent->valid_until != 0)) {
+    if (lost_count != 1 || cache->sync_needed ||
+        (parent != NULL && parent->valid_until_us != 0)) {
         return false;
     }
     return pgw_cache__block_store(&cache->table, event->parent, last->block) !=
@@ -311,17 +319,17 @@
 }
 
 static void
-take_event(struct pgw_cache *cache, const struct pgw_cache_event *event,
-           uint64_t now)
+handle_event(struct pgw_cache *cache, const struct pgw_cache_event *event,
+             uint64_t now_us)
 {
     if (event->seq <= cache->last_seq) {
         apply_late_event(cache, event);
         return;
     }
-    /* What was lost before the last full list is in it. */
-    if (event->seq > pgw_cache_true_seq(cache) + 1 &&
-        !loss_is_harmless(cache, event)) {
-        note_gap(cache, now);
+    /* The last block list covers the events lost before it. */
+    if (event->seq > pgw_cache_certain_seq(cache) + 1 &&
+        !gap_has_no_eviction(cache, event)) {
+        handle_gap(cache, now_us);
     }
     cache->last_seq = event->seq;
     cache->last_event = *event;
@@ -336,24 +344,24 @@
 void
 pgw_cache_apply(struct pgw_cache *cache, const struct pgw_cache_source *source,
                 struct pgw_cache_event *events, size_t n, uint64_t last,
-                uint64_t now)
+                uint64_t now_us)
 {
-    if (!pgw_cache_set_engine(cache, source, now)) {
+    if (!pgw_cache_set_engine(cache, source, now_us)) {
         return;
     }
     if (n > 0) {
         qsort(events, n, sizeof(*events), compare_seq);
     }
     for (size_t i = 0; i < n; i++) {
-        take_event(cache, &events[i], now);
+        handle_event(cache, &events[i], now_us);
     }
-    if (last > pgw_cache_true_seq(cache)) {
-        note_gap(cache, now);
+    if (last > pgw_cache_certain_seq(cache)) {
+        handle_gap(cache, now_us);
     }
     cache->last_seq = MAX(cache->last_seq, last);
 }
 
-/* Evicts every block that is not among @blocks. */
+/* Evicts all blocks that are not in @blocks. */
 static void
 evict_unlisted(struct pgw_cache__table *table,
                const struct pgw_cache_block *blocks, size_t n)
@@ -362,33 +370,33 @@
         struct pgw_cache__block *block =
             pgw_cache__block_find(table, blocks[i].block);
 
-        if (block != NULL && block->valid_until != 0) {
-            block->listed = true;
+        if (block != NULL && block->valid_until_us != 0) {
+            block->is_listed = true;
         }
     }
-    /* Only present blocks are in this list, and a present block is only freed
-     * by its own eviction, so the next one stays. */
+    /* The list has present blocks only, and a present block is freed only by
+     * its own eviction, so the next link stays valid. */
     pgw_list_foreach_safe (link, &table->block_lru) {
         struct pgw_cache__block *block =
             pgw_container_of(link, struct pgw_cache__block, lru);
 
-        if (!block->listed) {
+        if (!block->is_listed) {
             pgw_cache__block_evict(table, block);
             continue;
         }
-        block->listed = false;
+        block->is_listed = false;
     }
 }
 
 bool
 pgw_cache_sync(struct pgw_cache *cache, const struct pgw_cache_source *source,
                uint64_t seq, const struct pgw_cache_block *blocks, size_t n,
-               uint64_t now)
+               uint64_t now_us)
 {
-    if (!pgw_cache_set_engine(cache, source, now)) {
+    if (!pgw_cache_set_engine(cache, source, now_us)) {
         return false;
     }
-    if (seq < pgw_cache_true_seq(cache)) {
+    if (seq < pgw_cache_certain_seq(cache)) {
         cache->stats.late++;
         return false;
     }
@@ -404,11 +412,12 @@
 }
 
 bool
-pgw_cache_wants_sync(struct pgw_cache *cache, uint64_t now)
+pgw_cache_sync_is_due(struct pgw_cache *cache, uint64_t now_us)
 {
-    if (!cache->known || !cache->sync_needed || now < cache->next_sync) {
+    if (!cache->engine_known || !cache->sync_needed ||
+        now_us < cache->next_sync_us) {
         return false;
     }
-    cache->next_sync = now + cache->table.options.sync_interval_us;
+    cache->next_sync_us = now_us + cache->table.options.sync_interval_us;
     return true;
 }
--- a/src/libparsleygw/cache_table.c
+++ b/src/libparsleygw/cache_table.c
@@ -76,7 +76,7 @@
 }
 
 static void
-unbind(struct pgw_cache__level *level)
+unbind_level(struct pgw_cache__level *level)
 {
     pgw_list_remove(&level->of_block);
     level->block = NULL;
@@ -87,7 +87,7 @@
 pgw_cache__level_bind(struct pgw_cache__level *level,
                       struct pgw_cache__block *block, uint32_t end)
 {
-    unbind(level);
+    unbind_level(level);
     level->block = block;
     level->block_end = end;
     pgw_list_append(&block->levels, &level->of_block);
@@ -101,16 +101,19 @@
     return g_hash_table_lookup(table->blocks, &key);
 }
 
-/* Frees an absent block that no block names as parent, and then its own
- * parents as far as they are only kept for it. */
+/* Frees an absent block that has no children, then those of its ancestors that
+ * were kept only for it. */
 static void
-drop_unneeded(struct pgw_cache__table *table, struct pgw_cache__block *block)
+free_unreferenced_blocks(struct pgw_cache__table *table,
+                         struct pgw_cache__block *block)
 {
-    while (block != NULL && block->valid_until == 0 && block->children == 0) {
+    while (block != NULL && block->valid_until_us == 0 &&
+           block->children == 0) {
         struct pgw_cache__block *parent = block->parent;
 
         pgw_list_foreach_safe (link, &block->levels) {
-            unbind(pgw_container_of(link, struct pgw_cache__level, of_block));
+            unbind_level(
+                pgw_container_of(link, struct pgw_cache__level, of_block));
         }
         pgw_list_remove(&block->lru);
         g_hash_table_remove(table->blocks, &block->id);
@@ -125,12 +128,12 @@
 pgw_cache__block_evict(struct pgw_cache__table *table,
                        struct pgw_cache__block *block)
 {
-    if (block->valid_until != 0) {
-        block->valid_until = 0;
+    if (block->valid_until_us != 0) {
+        block->valid_until_us = 0;
         table->present--;
         pgw_list_remove(&block->lru);
     }
-    drop_unneeded(table, block);
+    free_unreferenced_blocks(table, block);
 }
 
 void
@@ -144,21 +147,22 @@
 }
 
 void
-pgw_cache__block_doubt_all(struct pgw_cache__table *table, uint64_t until)
+pgw_cache__block_downgrade_all(struct pgw_cache__table *table,
+                               uint64_t until_us)
 {
     struct pgw_list *link = table->block_lru.prev;
 
-    /* A block becomes certain only when it is moved to the list's end, so the
-     * certain ones stand there together: a busy engine that loses many events
-     * would else have all of its blocks gone through for each. */
+    /* A block becomes certain only when it is moved to the end of the list, so
+     * all certain blocks are at the end. Stopping at the first hint avoids a
+     * scan of all blocks for each gap when many events are lost. */
     while (link != &table->block_lru) {
         struct pgw_cache__block *block =
             pgw_container_of(link, struct pgw_cache__block, lru);
 
-        if (block->valid_until != PGW_CACHE__SURE) {
+        if (block->valid_until_us != PGW_CACHE__CERTAIN) {
             break;
         }
-        block->valid_until = until;
+        block->valid_until_us = until_us;
         link = link->prev;
     }
 }
@@ -177,17 +181,17 @@
     return block;
 }
 
-/* A block's parent never changes, since its name is chained from it. Only
- * the first word on it counts. */
+/* A block's parent never changes, since the block's identity is a hash chained
+ * from it. Only the first parent that is given counts. */
 static void
 set_parent(struct pgw_cache__table *table, struct pgw_cache__block *block,
            uint64_t parent)
 {
-    if (block->first || block->parent != NULL) {
+    if (block->is_first || block->parent != NULL) {
         return;
     }
     if (parent == 0 || parent == (uint64_t)block->id) {
-        block->first = true;
+        block->is_first = true;
         return;
     }
     block->parent = get_block(table, parent);
@@ -200,18 +204,18 @@
 {
     struct pgw_cache__block *block;
 
-    /* Absent parents are few as long as engines evict old chains whole. Where
-     * one does not, start afresh rather than grow: it only costs a resync. */
+    /* Absent parents are few if the engine evicts whole chains. If it does
+     * not, the table is emptied rather than grown, which costs one resync. */
     if (g_hash_table_size(table->blocks) + 2 > 2 * table->options.blocks) {
         pgw_cache__block_evict_all(table);
         return NULL;
     }
     block = get_block(table, id);
     set_parent(table, block, parent);
-    if (block->valid_until == 0) {
+    if (block->valid_until_us == 0) {
         table->present++;
     }
-    block->valid_until = PGW_CACHE__SURE;
+    block->valid_until_us = PGW_CACHE__CERTAIN;
     move_to_end(&table->block_lru, &block->lru);
     if (table->present > table->options.blocks) {
         pgw_cache__block_evict(table,
@@ -229,8 +233,9 @@
         .low = level->hash_low,
     };
 
-    /* The hash is fast, not cryptographic: a workspace that forged another's
-     * level would learn from the answer what that one has cached. */
+    /* The hash is fast, not cryptographic. Without the workspace in the key, a
+     * workspace that forges the hash of another one's level could find out
+     * what that workspace has cached. */
 #ifndef PGW_DISABLE_CACHE_WORKSPACE
     key.workspace = workspace;
 #else
@@ -249,12 +254,12 @@
 }
 
 static void
-drop_oldest_level(struct pgw_cache__table *table)
+remove_oldest_level(struct pgw_cache__table *table)
 {
     struct pgw_cache__level *oldest =
         pgw_container_of(table->level_lru.next, struct pgw_cache__level, lru);
 
-    unbind(oldest);
+    unbind_level(oldest);
     pgw_list_remove(&oldest->lru);
     g_hash_table_remove(table->levels, &oldest->key);
 }
@@ -268,7 +273,7 @@
 
     if (found == NULL) {
         if (g_hash_table_size(table->levels) >= table->options.levels) {
-            drop_oldest_level(table);
+            remove_oldest_level(table);
         }
         found = g_new0(struct pgw_cache__level, 1);
         found->key = level_key(level, workspace);
--- a/src/libparsleygw/copies.c
+++ b/src/libparsleygw/copies.c
@@ -60,9 +60,9 @@
 }
 
 bool
-pgw_copies_ask(struct pgw_copies *copies,
-               const struct pgw_fingerprint *fingerprint, uint64_t until_us,
-               uint64_t now_us)
+pgw_copies_register(struct pgw_copies *copies,
+                    const struct pgw_fingerprint *fingerprint,
+                    uint64_t until_us, uint64_t now_us)
 {
     struct request *request =
         g_hash_table_lookup(copies->requests, fingerprint);
@@ -100,15 +100,15 @@
 }
 
 void
-pgw_copies_prove(struct pgw_copies *copies,
-                 const struct pgw_fingerprint *fingerprint)
+pgw_copies_mark_completed(struct pgw_copies *copies,
+                          const struct pgw_fingerprint *fingerprint)
 {
     set_proven(copies, fingerprint, true);
 }
 
 void
-pgw_copies_doubt(struct pgw_copies *copies,
-                 const struct pgw_fingerprint *fingerprint)
+pgw_copies_mark_crashed(struct pgw_copies *copies,
+                        const struct pgw_fingerprint *fingerprint)
 {
     set_proven(copies, fingerprint, false);
 }
--- a/src/libparsleygw/level.c
+++ b/src/libparsleygw/level.c
@@ -1,26 +1,27 @@
 #include <parsleygw/level.h>
 #include <string.h>
 
-/* The streaming state may live on the stack only when compiled in. */
+/* Only the inlined library allows the streaming state on the stack. */
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* A level shorter than this adds no whole cached block worth routing by. */
+/* A shorter level adds no whole cached block, so routing by it is useless. */
 #define MIN_LEVEL_BYTES 64
 
 /*
- * Cuts of an unmarked prompt in tokens. Doubling keeps eight levels for any
- * length: whatever prefix two prompts share, a cut holds more than half of it.
+ * Boundaries of an unmarked prompt in tokens. With doubling sizes eight levels
+ * suffice for any length, and the deepest level that two prompts share covers
+ * more than half of their common prefix, up to the largest boundary.
  */
-static const uint32_t unmarked_cuts[] = {256,  512,  1024, 2048,
-                                         4096, 8192, 16384};
+static const uint32_t unmarked_boundary_tokens[] = {256,  512,  1024, 2048,
+                                                    4096, 8192, 16384};
 
 static void
 hash_field(XXH3_state_t *state, const char *field)
 {
     uint64_t len = strlen(field);
 
-    /* The length keeps ("ab", "c") and ("a", "bc") apart. */
+    /* The length distinguishes ("ab", "c") from ("a", "bc"). */
     (void)XXH3_128bits_update(state, &len, sizeof(len));
     (void)XXH3_128bits_update(state, field, len);
 }
@@ -36,9 +37,10 @@
     }
     (void)XXH3_128bits_reset(state);
     /*
-     * Without the salts a workspace would be sent to, and timed against, the
-     * cached prompts of another one, and new weights would be served from
-     * blocks of the old ones. No setting leaves them out.
+     * Failure: workspaces or weights versions share levels. Symptom: a
+     * workspace is routed to the cached prompts of another one and can detect
+     * them by timing, and new weights are served from blocks of the old ones.
+     * The salt is part of every hash; no setting leaves it out.
      */
 #ifndef PGW_DISABLE_LEVEL_SALT
     hash_field(state, salt->workspace);
@@ -65,8 +67,9 @@
     };
 }
 
-/* Keeps the boundaries that grow by a whole level and end inside the prompt;
- * which ones depends on the bytes before them only. */
+/* Keeps the boundaries inside the prompt that are at least MIN_LEVEL_BYTES
+ * after the previous one. The choice depends only on preceding boundaries, so
+ * prompts with a common prefix agree on its levels. */
 static size_t
 select_boundaries(uint32_t *out, const uint32_t *boundaries, size_t n,
                   size_t len)
@@ -84,12 +87,12 @@
 }
 
 static size_t
-unmarked_boundaries(uint32_t *out, uint32_t bytes_per_token)
+set_unmarked_boundaries(uint32_t *out, uint32_t bytes_per_token)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(unmarked_cuts); i++) {
-        out[i] = unmarked_cuts[i] * bytes_per_token;
+    for (size_t i = 0; i < G_N_ELEMENTS(unmarked_boundary_tokens); i++) {
+        out[i] = unmarked_boundary_tokens[i] * bytes_per_token;
     }
-    return G_N_ELEMENTS(unmarked_cuts);
+    return G_N_ELEMENTS(unmarked_boundary_tokens);
 }
 
 bool
@@ -99,42 +102,42 @@
                      uint32_t bytes_per_token)
 {
     XXH3_state_t state;
-    uint32_t *cuts = NULL;
+    uint32_t *ends = NULL;
     size_t count;
-    size_t from = 0;
-    bool ok = false;
+    size_t start = 0;
+    bool succeeded = false;
 
     *out = (struct pgw_level_chain){.count = 0};
     if (len > UINT32_MAX || !hash_salt(&state, salt)) {
         goto done;
     }
     bytes_per_token = MAX(bytes_per_token, 1);
-    cuts = g_new(uint32_t, MAX(n, G_N_ELEMENTS(unmarked_cuts)));
+    ends = g_new(uint32_t, MAX(n, G_N_ELEMENTS(unmarked_boundary_tokens)));
     if (n == 0) {
-        count = unmarked_boundaries(cuts, bytes_per_token);
-        count = select_boundaries(cuts, cuts, count, len);
+        count = set_unmarked_boundaries(ends, bytes_per_token);
+        count = select_boundaries(ends, ends, count, len);
     }
     else {
-        count = select_boundaries(cuts, boundaries, n, len);
+        count = select_boundaries(ends, boundaries, n, len);
     }
-    count = pgw_level_boundaries_merge(cuts, count, PGW_LEVEL_MAX - 1);
+    count = pgw_level_boundaries_merge(ends, count, PGW_LEVEL_MAX - 1);
     for (size_t i = 0; i < count; i++) {
-        (void)XXH3_128bits_update(&state, (const char *)prompt + from,
-                                  cuts[i] - from);
-        add_level(out, &state, cuts[i], bytes_per_token);
-        from = cuts[i];
+        (void)XXH3_128bits_update(&state, (const char *)prompt + start,
+                                  ends[i] - start);
+        add_level(out, &state, ends[i], bytes_per_token);
+        start = ends[i];
     }
     if (len > 0) {
-        (void)XXH3_128bits_update(&state, (const char *)prompt + from,
-                                  len - from);
+        (void)XXH3_128bits_update(&state, (const char *)prompt + start,
+                                  len - start);
         add_level(out, &state, (uint32_t)len, bytes_per_token);
     }
     out->prompt_tokens =
         (uint32_t)((len + bytes_per_token - 1) / bytes_per_token);
-    ok = true;
+    succeeded = true;
 done:
-    g_free(cuts);
-    return ok;
+    g_free(ends);
+    return succeeded;
 }
 
 size_t
@@ -154,7 +157,7 @@
     while ((at = memmem(at, (size_t)(end - at), marker, marker_len)) != NULL) {
         at += marker_len;
         if (count == max && tail > 0) {
-            /* Too many: the innermost ones so far move up. */
+            /* Drops the oldest of the innermost boundaries. */
             memmove(out + head, out + head + 1, (tail - 1) * sizeof(*out));
             count--;
         }
--- a/src/libparsleygw/loss.c
+++ b/src/libparsleygw/loss.c
@@ -4,12 +4,13 @@
 pgw_loss_init(struct pgw_loss *out, const struct pgw_loss_options *options)
 {
     *out = (struct pgw_loss){.options = *options};
-    out->options.marks_max = MIN(options->marks_max, PGW_LOSS_MARKS_MAX);
+    out->options.suspects_max =
+        MIN(options->suspects_max, PGW_LOSS_SUSPECTS_MAX);
 }
 
 bool
-pgw_loss_judge(uint32_t *out, struct pgw_loss *loss, uint32_t lost,
-               uint64_t now_us)
+pgw_loss_record_break(uint32_t *out, struct pgw_loss *loss, uint32_t lost,
+                      uint64_t now_us)
 {
     bool alone =
         !loss->any || now_us > loss->last_us + loss->options.window_us;
@@ -25,7 +26,7 @@
 #endif
     loss->any = true;
     loss->last_us = now_us;
-    *out = alone ? MIN(lost, loss->options.marks_max) : 0;
+    *out = alone ? MIN(lost, loss->options.suspects_max) : 0;
     return alone;
 }
 
--- a/src/libparsleygw/loss.h
+++ b/src/libparsleygw/loss.h
@@ -20,7 +20,7 @@
  */
 
 /** Most attempts marked for one lost link, whatever the options say. */
-#define PGW_LOSS_MARKS_MAX 4
+#define PGW_LOSS_SUSPECTS_MAX 4
 
 /**
  * struct pgw_loss_options - settings
@@ -29,19 +29,19 @@
  * @recent_us: how long before the last word of the sidecar an attempt that
  *             became suspect may have been opened
  * @slack_us: how long after it; what was opened later met a dead machine
- * @marks_max: most attempts of one link that become suspect
+ * @suspects_max: most attempts of one link that become suspect
  */
 struct pgw_loss_options {
     uint64_t window_us;
     uint64_t recent_us;
     uint64_t slack_us;
-    uint32_t marks_max;
+    uint32_t suspects_max;
 };
 
 #define PGW_LOSS_OPTIONS_INIT                                                 \
     {                                                                         \
         .window_us = 3000000, .recent_us = 5000000, .slack_us = 1000000,      \
-        .marks_max = PGW_LOSS_MARKS_MAX                                       \
+        .suspects_max = PGW_LOSS_SUSPECTS_MAX                                 \
     }
 
 /**
@@ -61,7 +61,7 @@
                    const struct pgw_loss_options *options);
 
 /**
- * pgw_loss_judge() - a link broke
+ * pgw_loss_record_break() - a link broke
  * @out: receives how many of its attempts, newest first, become suspect
  * @loss: the entry's memory
  * @lost: candidates that were open there
@@ -70,8 +70,8 @@
  * Return: whether it broke alone so far; false: the marks that were made for
  * the break before it should be taken back, it was no lone one, either.
  */
-bool pgw_loss_judge(uint32_t *out, struct pgw_loss *loss, uint32_t lost,
-                    uint64_t now_us);
+bool pgw_loss_record_break(uint32_t *out, struct pgw_loss *loss, uint32_t lost,
+                           uint64_t now_us);
 
 /**
  * pgw_loss_is_candidate() - whether an attempt may have taken its machine
--- a/src/libparsleygw/place_choice.c
+++ b/src/libparsleygw/place_choice.c
@@ -1,24 +1,24 @@
 #include <parsleygw/place.h>
 
-/* Weight of recomputed tokens in the cost: at ttft_weight 1 and 0. Never
- * zero, since recomputation delays the requests behind it, too. */
+/* Weight of recomputed tokens in the cost at ttft_weight 1 and 0. Never zero,
+ * since recomputation also delays the requests queued behind it. */
 #define RECOMPUTE_WEIGHT_MIN 0.5
 #define RECOMPUTE_WEIGHT_MAX 8.0
 
-/* Wait before the own prefill that asks for the next ranks: at ttft_weight 1
- * and 0, in microseconds. */
+/* Expected wait before the request's own prefill beyond which the next ranks
+ * are probed, at ttft_weight 1 and 0. */
 #define SPILL_WAIT_MIN_US 100000.0
 #define SPILL_WAIT_MAX_US 1000000.0
 
-/* A queue shorter than this is not worth waiting for another answer. */
+/* With a shorter queue than this, further replies are not waited for. */
 #define SETTLED_WAIT_US 10000.0
-/* Levels end inside a block, which is then not cached. */
+/* A block that a level ends in is not cached as part of the level. */
 #define SETTLED_MISSING_TOKENS 64u
 
 #define US_PER_S 1e6
 
-/* What costs are computed from, the same for all candidates. */
-struct pricing {
+/* Inputs of the cost that are the same for all candidates. */
+struct cost_model {
     const struct pgw_place_weights *weights;
     uint32_t prompt_tokens;
     double us_per_token;
@@ -29,77 +29,80 @@
 };
 
 static double
-between(double at_one, double at_zero, double weight)
+interpolate(double at_one, double at_zero, double weight)
 {
     return at_zero + (at_one - at_zero) * CLAMP(weight, 0.0, 1.0);
 }
 
 static bool
-takes_work(const struct pgw_place_candidate *candidate)
+accepts_requests(const struct pgw_place_candidate *candidate)
 {
     return !candidate->refuses && !candidate->leaving;
 }
 
 static double
-uncached_us(const struct pricing *pricing,
-            const struct pgw_place_candidate *candidate)
+uncached_prefill_us(const struct cost_model *cost_model,
+                    const struct pgw_place_candidate *candidate)
 {
-    uint32_t cached = MIN(candidate->matched_tokens, pricing->prompt_tokens);
+    uint32_t cached =
+        MIN(candidate->matched_tokens, cost_model->prompt_tokens);
 
-    return (pricing->prompt_tokens - cached) * pricing->us_per_token;
+    return (cost_model->prompt_tokens - cached) * cost_model->us_per_token;
 }
 
-/* Time before the own prefill starts, as the sidecar reported it. */
+/* Time before the request's own prefill starts, by the sidecar's report. */
 static double
-reported_wait_us(const struct pricing *pricing,
+reported_wait_us(const struct cost_model *cost_model,
                  const struct pgw_place_candidate *candidate)
 {
-    double own = uncached_us(pricing, candidate);
+    double prefill_us = uncached_prefill_us(cost_model, candidate);
 
     if (candidate->ttft_us > 0) {
-        return MAX(candidate->ttft_us - own, 0.0);
+        return MAX(candidate->ttft_us - prefill_us, 0.0);
     }
-    return candidate->queued_tokens * pricing->us_per_token;
+    return candidate->queued_tokens * cost_model->us_per_token;
 }
 
-/* 0 for a fresh answer, 1/2 at the weights' lag, towards 1 for an old one. */
+/* 0 for a fresh reply, 1/2 at an age of lag_us, approaching 1 with age. */
 static double
-staleness(const struct pricing *pricing,
+staleness(const struct cost_model *cost_model,
           const struct pgw_place_candidate *candidate)
 {
-    double lag = MAX(pricing->weights->lag_us, 1);
+    double lag = MAX(cost_model->weights->lag_us, 1);
 
     return candidate->age_us / (candidate->age_us + lag);
 }
 
 /*
- * An old report says little about the load of now. Believing it sends every
- * entry to the one that looked idle, seen as load that swings between
- * upstreams with the reports' period. So the wait drifts to the mean as the
- * report ages, what this entry sent since is charged, and the rest is chance.
+ * Failure: a report is old and no longer describes the current load. Symptom:
+ * all entries choose the upstream that looked idle, and the load oscillates
+ * between upstreams with the period of the reports. As a report ages, the
+ * expected wait moves towards the mean with random jitter, and the tokens that
+ * this entry has sent since the report are added.
  */
 static double
-expected_wait_us(const struct pricing *pricing,
+expected_wait_us(const struct cost_model *cost_model,
                  const struct pgw_place_candidate *candidate, size_t position)
 {
-    double wait = reported_wait_us(pricing, candidate);
+    double wait_us = reported_wait_us(cost_model, candidate);
 #ifndef PGW_DISABLE_PLACE_LAG
-    double stale = staleness(pricing, candidate);
+    double weight_of_mean = staleness(cost_model, candidate);
     uint64_t noise =
-        (pricing->random + position) * UINT64_C(0x9e3779b97f4a7c15);
-    double chance = (double)(noise >> 40) / (double)(1 << 24);
+        (cost_model->random + position) * UINT64_C(0x9e3779b97f4a7c15);
+    double jitter = (double)(noise >> 40) / (double)(1 << 24);
 
-    wait += (pricing->mean_wait_us * (0.5 + chance) - wait) * stale;
-    wait += candidate->charged_tokens * pricing->us_per_token;
+    wait_us +=
+        (cost_model->mean_wait_us * (0.5 + jitter) - wait_us) * weight_of_mean;
+    wait_us += candidate->charged_tokens * cost_model->us_per_token;
 #else
     (void)position;
     (void)staleness;
 #endif
-    return wait;
+    return wait_us;
 }
 
 static double
-mean_wait_us(const struct pricing *pricing,
+mean_wait_us(const struct cost_model *cost_model,
              const struct pgw_place_candidate *candidates, size_t n)
 {
     double sum = 0.0;
@@ -107,7 +110,7 @@
 
     for (size_t i = 0; i < n; i++) {
         if (candidates[i].answered) {
-            sum += reported_wait_us(pricing, &candidates[i]);
+            sum += reported_wait_us(cost_model, &candidates[i]);
             count++;
         }
     }
@@ -115,46 +118,48 @@
 }
 
 static void
-price_init(struct pricing *out, const struct pgw_place_candidate *candidates,
-           size_t n, const struct pgw_place_weights *weights,
-           uint32_t prompt_tokens, uint64_t random)
+cost_model_init(struct cost_model *out,
+                const struct pgw_place_candidate *candidates, size_t n,
+                const struct pgw_place_weights *weights,
+                uint32_t prompt_tokens, uint64_t random)
 {
     double rate = MAX(weights->prefill_tokens_per_s, 1.0);
 
-    *out = (struct pricing){
+    *out = (struct cost_model){
         .weights = weights,
         .prompt_tokens = prompt_tokens,
         .us_per_token = US_PER_S / rate,
-        .recompute_weight = between(RECOMPUTE_WEIGHT_MIN, RECOMPUTE_WEIGHT_MAX,
-                                    weights->ttft_weight),
-        .spill_wait_us = between(SPILL_WAIT_MIN_US, SPILL_WAIT_MAX_US,
-                                 weights->ttft_weight),
+        .recompute_weight = interpolate(
+            RECOMPUTE_WEIGHT_MIN, RECOMPUTE_WEIGHT_MAX, weights->ttft_weight),
+        .spill_wait_us = interpolate(SPILL_WAIT_MIN_US, SPILL_WAIT_MAX_US,
+                                     weights->ttft_weight),
         .random = random,
     };
     out->mean_wait_us = mean_wait_us(out, candidates, n);
 }
 
 /*
- * What is computed again delays all that wait behind it. Without counting
- * them a launch has each engine compute each of its prefixes, seen as a longer
- * queue at every engine; with them a prefix moves on only when a shorter queue
- * is worth it to all.
+ * Recomputation delays every request queued behind it. Without that cost, a
+ * launch of new prefixes makes every engine prefill every prefix, and the
+ * queue grows at every engine. With that cost, a prefix spreads to another
+ * engine only when the shorter queue outweighs the delay to all requests
+ * queued there.
  */
 static double
-recompute_price(const struct pricing *pricing,
-                const struct pgw_place_candidate *candidate, size_t position)
+recompute_factor(const struct cost_model *cost_model,
+                 const struct pgw_place_candidate *candidate, size_t position)
 {
-    return pricing->recompute_weight +
-           pricing->weights->rank_weight * (double)position +
-           pricing->weights->queue_weight * candidate->waiting;
+    return cost_model->recompute_weight +
+           cost_model->weights->rank_weight * (double)position +
+           cost_model->weights->queue_weight * candidate->waiting;
 }
 
 static void
-choose_unanswered(struct pgw_place_choice *out,
-                  const struct pgw_place_candidate *candidates, size_t n)
+choose_without_reply(struct pgw_place_choice *out,
+                     const struct pgw_place_candidate *candidates, size_t n)
 {
     for (size_t i = 0; i < n && !out->found; i++) {
-        if (!candidates[i].answered && takes_work(&candidates[i])) {
+        if (!candidates[i].answered && accepts_requests(&candidates[i])) {
             out->found = true;
             out->position = i;
         }
@@ -167,56 +172,61 @@
                  const struct pgw_place_weights *weights,
                  uint32_t prompt_tokens, uint64_t random)
 {
-    struct pricing pricing;
-    double best = 0.0;
-    double best_wait = 0.0;
+    struct cost_model cost_model;
+    double best_cost_us = 0.0;
+    double best_wait_us = 0.0;
 
     *out = (struct pgw_place_choice){.found = false};
-    price_init(&pricing, candidates, n, weights, prompt_tokens, random);
+    cost_model_init(&cost_model, candidates, n, weights, prompt_tokens,
+                    random);
     for (size_t i = 0; i < n; i++) {
-        const struct pgw_place_candidate *one = &candidates[i];
-        double own = uncached_us(&pricing, one);
-        double wait;
-        double cost;
+        const struct pgw_place_candidate *candidate = &candidates[i];
+        double prefill_us = uncached_prefill_us(&cost_model, candidate);
+        double wait_us;
+        double candidate_cost_us;
 
-        if (!one->answered || !takes_work(one)) {
+        if (!candidate->answered || !accepts_requests(candidate)) {
             continue;
         }
-        wait = expected_wait_us(&pricing, one, i);
-        cost = wait + own * (1.0 + recompute_price(&pricing, one, i)) +
-               (one->same_zone ? 0 : weights->zone_cost_us);
-        if (!out->found || cost < best) {
-            best = cost;
-            best_wait = wait;
+        wait_us = expected_wait_us(&cost_model, candidate, i);
+        candidate_cost_us =
+            wait_us +
+            prefill_us * (1.0 + recompute_factor(&cost_model, candidate, i)) +
+            (candidate->same_zone ? 0 : weights->zone_cost_us);
+        if (!out->found || candidate_cost_us < best_cost_us) {
+            best_cost_us = candidate_cost_us;
+            best_wait_us = wait_us;
             out->found = true;
             out->position = i;
         }
     }
     if (out->found) {
-        out->cost_us = (uint64_t)best;
-        out->spill = best_wait > pricing.spill_wait_us;
+        out->cost_us = (uint64_t)best_cost_us;
+        out->spill = best_wait_us > cost_model.spill_wait_us;
         return;
     }
-    choose_unanswered(out, candidates, n);
+    choose_without_reply(out, candidates, n);
     out->spill = !out->found;
 }
 
 bool
-pgw_place_gather(struct pgw_place_choice *out,
-                 const struct pgw_place_candidate *candidates, size_t n)
+pgw_place_choose_first_available(struct pgw_place_choice *out,
+                                 const struct pgw_place_candidate *candidates,
+                                 size_t n)
 {
     *out = (struct pgw_place_choice){.found = false};
     if (n == 0 || !candidates[0].answered || !candidates[0].gather) {
         return false;
     }
     for (size_t i = 0; i < n && !out->found; i++) {
-        out->found = candidates[i].answered && takes_work(&candidates[i]);
+        out->found =
+            candidates[i].answered && accepts_requests(&candidates[i]);
         out->position = i;
     }
     return true;
 }
 
-/* Prompt tokens that other requests can have brought into a cache. */
+/* Prompt tokens that other requests may have left in a cache. */
 static uint32_t
 shared_tokens(const struct pgw_level_chain *chain)
 {
@@ -235,11 +245,13 @@
     double us_per_token = US_PER_S / MAX(weights->prefill_tokens_per_s, 1.0);
 
     for (size_t i = 0; i < n; i++) {
-        const struct pgw_place_candidate *one = &candidates[i];
-        double queued = (double)one->queued_tokens + one->charged_tokens;
+        const struct pgw_place_candidate *candidate = &candidates[i];
+        double queued =
+            (double)candidate->queued_tokens + candidate->charged_tokens;
 
-        if (one->answered && takes_work(one) && one->waiting == 0 &&
-            one->matched_tokens >= shared_tokens(chain) &&
+        if (candidate->answered && accepts_requests(candidate) &&
+            candidate->waiting == 0 &&
+            candidate->matched_tokens >= shared_tokens(chain) &&
             queued * us_per_token <= SETTLED_WAIT_US) {
             return true;
         }
--- a/src/libparsleygw/place_policy.c
+++ b/src/libparsleygw/place_policy.c
@@ -1,61 +1,64 @@
 #include <parsleygw/place.h>
 #include <string.h>
 
-/* Each round asks twice as many as the one before: after four the whole
- * ranking was asked. */
-#define ROUNDS 4
+/* Each round probes twice as many candidates as the one before; four rounds
+ * cover the whole ranking. */
+#define MAX_ROUNDS 4
 
-/* The baselines and earlier versions that the project's own policy is measured
- * against. */
+/* Besides the default policy there are baselines and earlier versions of it
+ * for comparison. */
 
 static bool
-takes_work(const struct pgw_place_candidate *candidate)
+accepts_requests(const struct pgw_place_candidate *candidate)
 {
     return !candidate->refuses && !candidate->leaving;
 }
 
 static uint64_t
-requests_at(const struct pgw_place_candidate *candidate)
+request_count(const struct pgw_place_candidate *candidate)
 {
     return (uint64_t)candidate->running + candidate->waiting;
 }
 
 static void
-take(struct pgw_place_choice *out, size_t position)
+set_choice(struct pgw_place_choice *out, size_t position)
 {
     *out = (struct pgw_place_choice){.found = true, .position = position};
 }
 
 static size_t
 rank_nested(uint32_t *out, size_t k, const struct pgw_place_node *nodes,
-            size_t n, const struct pgw_level_chain *chain, uint64_t turn)
+            size_t n, const struct pgw_level_chain *chain,
+            uint64_t request_number)
 {
-    (void)turn;
+    (void)request_number;
     return pgw_place_rank(out, k, nodes, n, chain);
 }
 
-/* Rendezvous hashing of the first level alone. */
+/* Rendezvous hashing by the first level alone. */
 static size_t
 rank_first_level(uint32_t *out, size_t k, const struct pgw_place_node *nodes,
-                 size_t n, const struct pgw_level_chain *chain, uint64_t turn)
+                 size_t n, const struct pgw_level_chain *chain,
+                 uint64_t request_number)
 {
     struct pgw_level_chain first = *chain;
 
-    (void)turn;
+    (void)request_number;
     first.count = MIN(chain->count, 1);
     return pgw_place_rank(out, k, nodes, n, &first);
 }
 
 static size_t
-rank_in_turn(uint32_t *out, size_t k, const struct pgw_place_node *nodes,
-             size_t n, const struct pgw_level_chain *chain, uint64_t turn)
+rank_round_robin(uint32_t *out, size_t k, const struct pgw_place_node *nodes,
+                 size_t n, const struct pgw_level_chain *chain,
+                 uint64_t request_number)
 {
     size_t count = 0;
 
     (void)chain;
     k = MIN(k, PGW_PLACE_RANK_MAX);
     for (size_t i = 0; i < n && count < k; i++) {
-        size_t index = (turn + i) % n;
+        size_t index = (request_number + i) % n;
 
         if (nodes[index].usable) {
             out[count++] = (uint32_t)index;
@@ -65,54 +68,54 @@
 }
 
 static void
-choose_first(struct pgw_place_choice *out,
-             const struct pgw_place_candidate *candidates, size_t n,
-             const struct pgw_place_weights *weights, uint32_t prompt_tokens,
-             uint64_t random)
+choose_first_rank(struct pgw_place_choice *out,
+                  const struct pgw_place_candidate *candidates, size_t n,
+                  const struct pgw_place_weights *weights,
+                  uint32_t prompt_tokens, uint64_t random)
 {
     (void)weights;
     (void)prompt_tokens;
     (void)random;
     *out = (struct pgw_place_choice){.spill = true};
     for (size_t i = 0; i < n && !out->found; i++) {
-        if (takes_work(&candidates[i])) {
-            take(out, i);
+        if (accepts_requests(&candidates[i])) {
+            set_choice(out, i);
         }
     }
 }
 
-/* Consistent hashing with bounded loads: the first rank whose requests stay
- * within the factor times the mean, counting the new one. */
+/* Consistent hashing with bounded loads: chooses the first rank whose requests
+ * stay within load_factor times the mean, which counts the new request. */
 static void
-choose_bounded(struct pgw_place_choice *out,
-               const struct pgw_place_candidate *candidates, size_t n,
-               const struct pgw_place_weights *weights, uint32_t prompt_tokens,
-               uint64_t random)
+choose_bounded_load(struct pgw_place_choice *out,
+                    const struct pgw_place_candidate *candidates, size_t n,
+                    const struct pgw_place_weights *weights,
+                    uint32_t prompt_tokens, uint64_t random)
 {
     uint64_t total = 1;
     double bound;
 
     for (size_t i = 0; i < n; i++) {
-        total += requests_at(&candidates[i]);
+        total += request_count(&candidates[i]);
     }
     bound = weights->load_factor * (double)total / (double)MAX(n, 1);
     bound = MAX(bound, 1.0);
     for (size_t i = 0; i < n; i++) {
-        if (candidates[i].answered && takes_work(&candidates[i]) &&
-            (double)requests_at(&candidates[i]) <= bound) {
-            take(out, i);
+        if (candidates[i].answered && accepts_requests(&candidates[i]) &&
+            (double)request_count(&candidates[i]) <= bound) {
+            set_choice(out, i);
             return;
         }
     }
-    choose_first(out, candidates, n, weights, prompt_tokens, random);
+    choose_first_rank(out, candidates, n, weights, prompt_tokens, random);
 }
 
 static bool
-less_loaded(const struct pgw_place_candidate *a,
-            const struct pgw_place_candidate *b)
+is_less_loaded(const struct pgw_place_candidate *a,
+               const struct pgw_place_candidate *b)
 {
-    if (requests_at(a) != requests_at(b)) {
-        return requests_at(a) < requests_at(b);
+    if (request_count(a) != request_count(b)) {
+        return request_count(a) < request_count(b);
     }
     return a->queued_tokens < b->queued_tokens;
 }
@@ -125,48 +128,50 @@
 {
     *out = (struct pgw_place_choice){.found = false};
     for (size_t i = 0; i < n; i++) {
-        if (candidates[i].answered && takes_work(&candidates[i]) &&
+        if (candidates[i].answered && accepts_requests(&candidates[i]) &&
             (!out->found ||
-             less_loaded(&candidates[i], &candidates[out->position]))) {
-            take(out, i);
+             is_less_loaded(&candidates[i], &candidates[out->position]))) {
+            set_choice(out, i);
         }
     }
     if (!out->found) {
-        choose_first(out, candidates, n, weights, prompt_tokens, random);
+        choose_first_rank(out, candidates, n, weights, prompt_tokens, random);
     }
 }
 
-/* Until 66e9d4b: what waits at a candidate does not count. */
+/* Policy before 66e9d4b: requests queued at a candidate add no cost. */
 static void
 choose_without_queue(struct pgw_place_choice *out,
                      const struct pgw_place_candidate *candidates, size_t n,
                      const struct pgw_place_weights *weights,
                      uint32_t prompt_tokens, uint64_t random)
 {
-    struct pgw_place_weights earlier = *weights;
+    struct pgw_place_weights earlier_weights = *weights;
 
-    earlier.queue_weight = 0.0;
-    pgw_place_choose(out, candidates, n, &earlier, prompt_tokens, random);
+    earlier_weights.queue_weight = 0.0;
+    pgw_place_choose(out, candidates, n, &earlier_weights, prompt_tokens,
+                     random);
 }
 
-/* Until 5af4405: entries of several zones compute a new prefix several times.
- */
+/* Policy before 5af4405: ranks add no cost, so entries of several zones have a
+ * new prefix prefilled several times. */
 static void
 choose_without_rank(struct pgw_place_choice *out,
                     const struct pgw_place_candidate *candidates, size_t n,
                     const struct pgw_place_weights *weights,
                     uint32_t prompt_tokens, uint64_t random)
 {
-    struct pgw_place_weights earlier = *weights;
+    struct pgw_place_weights earlier_weights = *weights;
 
-    earlier.rank_weight = 0.0;
-    choose_without_queue(out, candidates, n, &earlier, prompt_tokens, random);
+    earlier_weights.rank_weight = 0.0;
+    choose_without_queue(out, candidates, n, &earlier_weights, prompt_tokens,
+                         random);
 }
 
 static const struct pgw_place_policy policies[] = {
     {.name = "parsleygw",
      .probes = 4,
-     .rounds = ROUNDS,
+     .rounds = MAX_ROUNDS,
      .rank = rank_nested,
      .choose = pgw_place_choose,
      .settled = pgw_place_is_settled},
@@ -185,31 +190,31 @@
     {.name = "parsleygw-v3",
      .probes = 3,
      .fixed_probes = true,
-     .rounds = ROUNDS,
+     .rounds = MAX_ROUNDS,
      .rank = rank_nested,
      .choose = choose_without_queue,
      .settled = pgw_place_is_settled},
     {.name = "parsleygw-v4",
      .probes = 4,
-     .rounds = ROUNDS,
+     .rounds = MAX_ROUNDS,
      .rank = rank_nested,
      .choose = choose_without_queue,
      .settled = pgw_place_is_settled},
     {.name = "hash",
      .probes = 0,
-     .rounds = ROUNDS,
+     .rounds = MAX_ROUNDS,
      .rank = rank_first_level,
-     .choose = choose_bounded},
+     .choose = choose_bounded_load},
     {.name = "least-loaded",
      .probes = 0,
-     .rounds = ROUNDS,
-     .rank = rank_in_turn,
+     .rounds = MAX_ROUNDS,
+     .rank = rank_round_robin,
      .choose = choose_least_loaded},
     {.name = "round-robin",
      .probes = 1,
-     .rounds = ROUNDS,
-     .rank = rank_in_turn,
-     .choose = choose_first},
+     .rounds = MAX_ROUNDS,
+     .rank = rank_round_robin,
+     .choose = choose_first_rank},
 };
 
 const struct pgw_place_policy *
--- a/src/libparsleygw/retry.c
+++ b/src/libparsleygw/retry.c
@@ -2,13 +2,12 @@
 
 #include <stdatomic.h>
 
-/** One token in the unit of the bucket: a first attempt pays share_permille.
- */
-#define TOKEN 1000
+/** Bucket units per token: a first attempt deposits share_permille units. */
+#define UNITS_PER_TOKEN 1000
 
 struct pgw_retry_budget {
-    _Atomic int64_t level;
-    _Atomic int64_t limit;
+    _Atomic int64_t balance;
+    _Atomic int64_t capacity;
     int64_t deposit;
 };
 
@@ -18,8 +17,8 @@
     struct pgw_retry_budget *budget = g_new0(struct pgw_retry_budget, 1);
 
     budget->deposit = options->share_permille;
-    atomic_init(&budget->limit, (int64_t)options->burst * TOKEN);
-    atomic_init(&budget->level, (int64_t)options->burst * TOKEN);
+    atomic_init(&budget->capacity, (int64_t)options->burst * UNITS_PER_TOKEN);
+    atomic_init(&budget->balance, (int64_t)options->burst * UNITS_PER_TOKEN);
     return budget;
 }
 
@@ -32,27 +31,31 @@
 void
 pgw_retry_budget_set_burst(struct pgw_retry_budget *budget, uint32_t burst)
 {
-    int64_t limit = (int64_t)burst * TOKEN;
-    int64_t level = atomic_load_explicit(&budget->level, memory_order_relaxed);
-
-    atomic_store_explicit(&budget->limit, limit, memory_order_relaxed);
-    while (level > limit && !atomic_compare_exchange_weak_explicit(
-                                &budget->level, &level, limit,
-                                memory_order_relaxed, memory_order_relaxed)) {
+    int64_t capacity = (int64_t)burst * UNITS_PER_TOKEN;
+    int64_t balance =
+        atomic_load_explicit(&budget->balance, memory_order_relaxed);
+
+    atomic_store_explicit(&budget->capacity, capacity, memory_order_relaxed);
+    while (balance > capacity &&
+           !atomic_compare_exchange_weak_explicit(
+               &budget->balance, &balance, capacity, memory_order_relaxed,
+               memory_order_relaxed)) {
     }
 }
 
 void
 pgw_retry_budget_deposit(struct pgw_retry_budget *budget)
 {
-    int64_t level = atomic_load_explicit(&budget->level, memory_order_relaxed);
-    int64_t limit = atomic_load_explicit(&budget->limit, memory_order_relaxed);
+    int64_t balance =
+        atomic_load_explicit(&budget->balance, memory_order_relaxed);
+    int64_t capacity =
+        atomic_load_explicit(&budget->capacity, memory_order_relaxed);
 
-    while (level < limit) {
-        int64_t next = MIN(level + budget->deposit, limit);
+    while (balance < capacity) {
+        int64_t next = MIN(balance + budget->deposit, capacity);
 
-        if (atomic_compare_exchange_weak_explicit(&budget->level, &level, next,
-                                                  memory_order_relaxed,
+        if (atomic_compare_exchange_weak_explicit(&budget->balance, &balance,
+                                                  next, memory_order_relaxed,
                                                   memory_order_relaxed)) {
             return;
         }
@@ -64,17 +67,18 @@
 {
 #ifndef PGW_DISABLE_RETRY_BUDGET
     /*
-     * Failure: a zone dies and each request in it fails. Symptom without the
-     * bucket: every one is sent again, several times, and the zones that are
-     * left go down under the multiple of their load. The bucket is enough
-     * because only first attempts fill it, never retries.
+     * Failure: a zone fails and with it all requests there. Symptom: each
+     * request is retried several times and the multiplied load overloads the
+     * remaining zones. The bucket is enough because only first attempts fill
+     * it, never retries.
      */
-    int64_t level = atomic_load_explicit(&budget->level, memory_order_relaxed);
+    int64_t balance =
+        atomic_load_explicit(&budget->balance, memory_order_relaxed);
 
-    while (level >= TOKEN) {
+    while (balance >= UNITS_PER_TOKEN) {
         if (atomic_compare_exchange_weak_explicit(
-                &budget->level, &level, level - TOKEN, memory_order_relaxed,
-                memory_order_relaxed)) {
+                &budget->balance, &balance, balance - UNITS_PER_TOKEN,
+                memory_order_relaxed, memory_order_relaxed)) {
             return true;
         }
     }
@@ -88,9 +92,10 @@
 uint32_t
 pgw_retry_budget_tokens(const struct pgw_retry_budget *budget)
 {
-    int64_t level = atomic_load_explicit(&budget->level, memory_order_relaxed);
+    int64_t balance =
+        atomic_load_explicit(&budget->balance, memory_order_relaxed);
 
-    return (uint32_t)(level / TOKEN);
+    return (uint32_t)(balance / UNITS_PER_TOKEN);
 }
 
 uint64_t
--- a/src/sidecar/engine.c
+++ b/src/sidecar/engine.c
@@ -42,7 +42,7 @@
                  "incarnation=%" G_GINT64_MODIFIER "x version=%s",
                  engine->incarnation, engine->version);
     if (!alive) {
-        pgw_cache_lose_engine(sidecar->cache, pgw_now_us());
+        pgw_cache_clear_engine(sidecar->cache, pgw_now_us());
         engine->incarnation = 0;
         engine->loading = false;
     }
@@ -86,7 +86,7 @@
 status_done(void *context, long status, JsonObject *body, uint64_t asked_us)
 {
     struct engine *engine = context;
-    struct pgw_cache_source source = {.asked = asked_us};
+    struct pgw_cache_source source = {.requested_us = asked_us};
 
     engine->status = NULL;
     if (status == 200 && body != NULL) {
@@ -134,7 +134,7 @@
     return (struct pgw_cache_source){
         .incarnation = answer->list.incarnation,
         .version = answer->list.version,
-        .asked = answer->asked_us,
+        .requested_us = answer->asked_us,
     };
 }
 
@@ -222,7 +222,7 @@
     char *url;
 
     if (engine->blocks != NULL || engine->blocks_answer.text != NULL ||
-        !pgw_cache_wants_sync(engine->sidecar->cache, pgw_now_us())) {
+        !pgw_cache_sync_is_due(engine->sidecar->cache, pgw_now_us())) {
         return;
     }
     url = engine_url(engine, "/blocks");
--- a/src/sidecar/model_call.c
+++ b/src/sidecar/model_call.c
@@ -75,8 +75,8 @@
     };
 
     run->tokens = run->open->resume_from;
-    pgw_cache_note_request(sidecar->cache, &run->key.request, &run->chain,
-                           &salt, pgw_now_us());
+    pgw_cache_record_request(sidecar->cache, &run->key.request, &run->chain,
+                             &salt, pgw_now_us());
     run->transfer = pgw_transfer_start(sidecar->transfers, &options,
                                        &run_transfer_ops, run);
     g_free(body);
@@ -103,7 +103,7 @@
     struct pgw_cache_source source = {
         .incarnation = engine == NULL ? 0 : g_ascii_strtoull(engine, NULL, 16),
         .version = version == NULL ? "" : version,
-        .asked = run->sent_us,
+        .requested_us = run->sent_us,
     };
 
     if (usage != NULL) {
@@ -119,8 +119,8 @@
     /* The engine has room for the next prefill; waiting for the gate's own
      * tick would leave it idle in the meantime. */
     gate_pump_soon(sidecar);
-    pgw_cache_note_answer(sidecar->cache, &run->key.request, &source,
-                          run->cached_tokens, pgw_now_us());
+    pgw_cache_record_first_token(sidecar->cache, &run->key.request, &source,
+                                 run->cached_tokens, pgw_now_us());
     kv_note_answer(sidecar->kv, run);
     run_send_started(run, "", source.version, source.incarnation);
 }
--- a/src/sidecar/suspicion.c
+++ b/src/sidecar/suspicion.c
@@ -177,7 +177,7 @@
     pgw_trace_record(suspicion->sidecar->trace, PGW_TRACE_QUARANTINE_ADD,
                      &run->key.request, run->key.attempt, incarnation, 0,
                      NULL);
-    pgw_copies_doubt(suspicion->copies, &run->fingerprint);
+    pgw_copies_mark_crashed(suspicion->copies, &run->fingerprint);
     pgw_quarantine_crash(suspicion->machine, &run->fingerprint,
                          run->suspicion_ticket, incarnation,
                          pgw_hlc_wall_us());
@@ -208,7 +208,7 @@
     if (run->suspicion_ticket == 0) {
         return;
     }
-    pgw_copies_prove(suspicion->copies, &run->fingerprint);
+    pgw_copies_mark_completed(suspicion->copies, &run->fingerprint);
     pgw_quarantine_success(suspicion->machine, &run->fingerprint,
                            run->suspicion_ticket, pgw_hlc_wall_us());
     forget(suspicion, run);
@@ -237,8 +237,8 @@
         return false;
     }
     memcpy(fingerprint.bytes, probe->fingerprint.data, PGW_FINGERPRINT_SIZE);
-    return pgw_copies_ask(suspicion->copies, &fingerprint,
-                          now + (uint64_t)probe->deadline_ms * 1000, now);
+    return pgw_copies_register(suspicion->copies, &fingerprint,
+                               now + (uint64_t)probe->deadline_ms * 1000, now);
 }
 
 void
--- a/tests/property/prop_cache.cc
+++ b/tests/property/prop_cache.cc
@@ -11,9 +11,10 @@
 
 /*
  * A small engine with an LRU cache runs random histories: requests of two
- * workspaces, restarts and new weights. Its answers are lost, doubled, late
- * and crossed before the view gets them. What the view calls certain is then
- * compared with what the engine held as of the last event that the view took.
+ * workspaces, restarts and new weights. Its responses are lost, duplicated,
+ * delayed and reordered before the view gets them. The certain blocks of the
+ * view are compared with the blocks that the engine had cached as of the last
+ * event that the view applied.
  */
 
 static const uint32_t kBlock = 16;
@@ -58,13 +59,13 @@
     bool lost;
 };
 
-/* One answer of the engine on its way to the view. */
-struct Answer {
+/* A response of the engine that is in transit to the view. */
+struct Response {
     uint64_t incarnation;
     int generation;
     std::string version;
-    uint64_t asked;
-    bool is_list;
+    uint64_t requested_us;
+    bool is_block_list;
     uint64_t last;
     std::vector<pgw_cache_event> events;
     std::vector<pgw_cache_block> blocks;
@@ -78,14 +79,16 @@
     std::map<uint64_t, uint64_t> parents;
     std::vector<Event> log;
     /* What was cached after each event, by incarnation. */
-    std::map<uint64_t, std::vector<Blocks>> held = { { 1001, { {} } } };
+    std::map<uint64_t, std::vector<Blocks>> cached_after = {
+        { 1001, { {} } }
+    };
 
     void
     emit(pgw_cache_event event)
     {
         event.seq = log.size() + 1;
         log.push_back({ event, *rc::gen::inRange(0, 12) == 0 });
-        held[incarnation].push_back(Blocks(lru.begin(), lru.end()));
+        cached_after[incarnation].push_back(Blocks(lru.begin(), lru.end()));
     }
 
     struct Job {
@@ -94,9 +97,9 @@
         size_t done;
     };
 
-    /* Names the next block of the job, as used or as stored. */
+    /* Emits an event for the next block of the job, as used or as stored. */
     void
-    name_block(Job &job, pgw_cache_kind kind)
+    emit_block(Job &job, pgw_cache_kind kind)
     {
         uint64_t block = job.blocks[job.done];
         uint64_t parent = job.done > 0 ? job.blocks[job.done - 1] : 0;
@@ -115,7 +118,7 @@
         return std::find(lru.begin(), lru.end(), block) != lru.end();
     }
 
-    /* The least recently used one that no cached block follows. */
+    /* Evicts the least recently used block that has no cached child. */
     void
     evict()
     {
@@ -134,7 +137,7 @@
     void
     store_next(Job &job)
     {
-        /* Another request may have stored it meanwhile: no event. */
+        /* Another request may have stored the block meanwhile: no event. */
         if (is_cached(job.blocks[job.done])) {
             job.done++;
             return;
@@ -142,17 +145,17 @@
         if (lru.size() == kCapacity) {
             evict();
         }
-        name_block(job, PGW_CACHE_STORED);
+        emit_block(job, PGW_CACHE_STORED);
     }
 
-    /* Runs requests at once: each matches, then they store in turns. */
+    /* Runs requests concurrently: all match first, then store round-robin. */
     void
-    run(std::vector<Job> jobs)
+    run_jobs(std::vector<Job> jobs)
     {
         for (Job &job : jobs) {
             while (job.done < job.blocks.size() &&
                    is_cached(job.blocks[job.done])) {
-                name_block(job, PGW_CACHE_USED);
+                emit_block(job, PGW_CACHE_USED);
             }
         }
         for (bool more = true; more;) {
@@ -173,7 +176,7 @@
         incarnation++;
         lru.clear();
         log.clear();
-        held[incarnation] = { {} };
+        cached_after[incarnation] = { {} };
     }
 
     void
@@ -185,13 +188,14 @@
         emit({ 0, PGW_CACHE_CLEARED, {}, 0, 0, 0 });
     }
 
-    Answer
-    answer(uint64_t asked, bool is_list, uint64_t after, bool lossless) const
+    Response
+    respond(uint64_t requested_us, bool is_block_list, uint64_t after,
+            bool lossless) const
     {
-        Answer out = { incarnation, generation, version,      asked,
-                       is_list,     log.size(), {}, {} };
+        Response out = { incarnation, generation, version,      requested_us,
+                       is_block_list,     log.size(), {}, {} };
 
-        for (size_t i = after; i < log.size() && !is_list; i++) {
+        for (size_t i = after; i < log.size() && !is_block_list; i++) {
             if (lossless || !log[i].lost) {
                 out.events.push_back(log[i].event);
             }
@@ -204,12 +208,12 @@
 };
 
 static uint32_t
-held_prefix(const Blocks &held, const Prompt &p)
+cached_prefix(const Blocks &cached, const Prompt &p)
 {
     uint32_t tokens = 0;
 
     for (uint64_t block : blocks_of(p)) {
-        if (held.count(block) == 0) {
+        if (cached.count(block) == 0) {
             break;
         }
         tokens += kBlock;
@@ -217,15 +221,15 @@
     return tokens;
 }
 
-struct World {
+struct Scenario {
     Engine engine;
     pgw_cache *view;
     uint64_t now = 100;
     int delivered = 0;
-    std::vector<Answer> pending;
+    std::vector<Response> pending;
     uint64_t next_id = 1;
 
-    World()
+    Scenario()
     {
         pgw_cache_options options = PGW_CACHE_OPTIONS_INIT;
 
@@ -234,7 +238,7 @@
         view = pgw_cache_new(&options);
     }
 
-    ~World() { pgw_cache_free(view); }
+    ~Scenario() { pgw_cache_free(view); }
 
     Prompt
     prompt(const std::string &version) const
@@ -253,7 +257,7 @@
     }
 
     Engine::Job
-    note(const Prompt &p)
+    record_request(const Prompt &p)
     {
         pgw_request_id id = {};
         pgw_level_salt salt = { p.workspace.c_str(), "m", "",
@@ -262,8 +266,8 @@
 
         memcpy(id.bytes, &next_id, sizeof(next_id));
         next_id++;
-        pgw_cache_note_request(view, &id, &chain, &salt, now);
-        /* The engine refuses a request for other weights. */
+        pgw_cache_record_request(view, &id, &chain, &salt, now);
+        /* The engine refuses a request for another weights version. */
         return { id,
                  p.version == engine.version ? blocks_of(p)
                                              : std::vector<uint64_t>(),
@@ -271,41 +275,44 @@
     }
 
     void
-    deliver(Answer answer)
+    deliver(Response response)
     {
-        pgw_cache_source source = { answer.incarnation,
-                                    answer.version.c_str(), answer.asked };
-
-        delivered = std::max(delivered, answer.generation);
-        if (answer.is_list) {
-            pgw_cache_sync(view, &source, answer.last, answer.blocks.data(),
-                           answer.blocks.size(), now);
+        pgw_cache_source source = { response.incarnation,
+                                    response.version.c_str(),
+                                    response.requested_us };
+
+        delivered = std::max(delivered, response.generation);
+        if (response.is_block_list) {
+            pgw_cache_sync(view, &source, response.last,
+                           response.blocks.data(), response.blocks.size(),
+                           now);
         }
         else {
-            pgw_cache_apply(view, &source, answer.events.data(),
-                            answer.events.size(), answer.last, now);
+            pgw_cache_apply(view, &source, response.events.data(),
+                            response.events.size(), response.last, now);
         }
     }
 
     void
-    check(const Prompt &p) const
+    check_match(const Prompt &p) const
     {
         auto chain = chain_of(p);
-        uint32_t hint = 0;
-        uint32_t sure = pgw_cache_match(view, p.workspace.c_str(), &chain, now,
-                                        &hint);
+        uint32_t hint_tokens = 0;
+        uint32_t certain_tokens = pgw_cache_match(
+            view, p.workspace.c_str(), &chain, now, &hint_tokens);
         uint64_t incarnation = pgw_cache_incarnation(view);
 
-        RC_ASSERT(hint >= sure);
+        RC_ASSERT(hint_tokens >= certain_tokens);
         if (incarnation == 0 || p.version != pgw_cache_version(view)) {
-            RC_ASSERT(hint == 0u);
+            RC_ASSERT(hint_tokens == 0u);
             return;
         }
-        const auto &held = engine.held.at(incarnation);
-        RC_ASSERT(pgw_cache_true_seq(view) < held.size());
-        RC_ASSERT(sure <= held_prefix(held[pgw_cache_true_seq(view)], p));
+        const auto &history = engine.cached_after.at(incarnation);
+        RC_ASSERT(pgw_cache_certain_seq(view) < history.size());
+        RC_ASSERT(certain_tokens <=
+                  cached_prefix(history[pgw_cache_certain_seq(view)], p));
         RC_ASSERT((pgw_cache_last_block(view, p.workspace.c_str(), &chain) !=
-                   0) == (sure > 0));
+                   0) == (certain_tokens > 0));
     }
 
     void
@@ -314,11 +321,13 @@
         if (pgw_cache_incarnation(view) == 0) {
             return;
         }
-        /* Never an engine or weights older than one already heard of. */
+        /* The view never names an engine or weights newer than the current
+         * ones, and names the current ones once a response of them came. */
         RC_ASSERT(pgw_cache_incarnation(view) <= engine.incarnation);
-        int heard = std::stoi(std::string(pgw_cache_version(view)).substr(1));
+        int version_number =
+            std::stoi(std::string(pgw_cache_version(view)).substr(1));
         if (pgw_cache_incarnation(view) == engine.incarnation) {
-            RC_ASSERT(heard <= std::stoi(engine.version.substr(1)));
+            RC_ASSERT(version_number <= std::stoi(engine.version.substr(1)));
         }
         if (delivered == engine.generation) {
             RC_ASSERT(pgw_cache_incarnation(view) == engine.incarnation);
@@ -329,34 +338,36 @@
     void
     step()
     {
-        std::string old = *rc::gen::inRange(0, 4)
-                              ? engine.version
-                              : "w" + std::to_string(*rc::gen::inRange(
-                                          1, engine.generation + 1));
+        std::string request_version =
+            *rc::gen::inRange(0, 4)
+                ? engine.version
+                : "w" + std::to_string(
+                            *rc::gen::inRange(1, engine.generation + 1));
         int kind = *rc::gen::inRange(0, 100);
-        uint64_t asked = now - *rc::gen::inRange<uint64_t>(0, 40);
+        uint64_t requested_us = now - *rc::gen::inRange<uint64_t>(0, 40);
 
         now += *rc::gen::inRange<uint64_t>(1, 60);
         if (kind < 35) {
-            std::vector<Engine::Job> jobs = { note(prompt(old)) };
+            std::vector<Engine::Job> jobs = { record_request(
+                prompt(request_version)) };
 
             if (kind < 20) {
-                jobs.push_back(note(prompt(engine.version)));
+                jobs.push_back(record_request(prompt(engine.version)));
             }
-            engine.run(jobs);
+            engine.run_jobs(jobs);
         }
         else if (kind < 60) {
-            pending.push_back(engine.answer(asked, kind >= 55,
-                                            pgw_cache_last_seq(view), false));
+            pending.push_back(engine.respond(
+                requested_us, kind >= 55, pgw_cache_last_seq(view), false));
         }
         else if (kind < 92 && !pending.empty()) {
             size_t i = *rc::gen::inRange<size_t>(0, pending.size());
-            Answer one = pending[i];
+            Response response = pending[i];
 
             if (*rc::gen::inRange(0, 4) > 0) {
                 pending.erase(pending.begin() + static_cast<long>(i));
             }
-            deliver(one);
+            deliver(response);
         }
         else if (kind >= 92 && kind < 95) {
             engine.restart();
@@ -365,46 +376,48 @@
             engine.load_version();
         }
         check_engine();
-        check(prompt(old));
+        check_match(prompt(request_version));
     }
 
-    /* Once answers come whole and in time, the view is exact, and hints have
-     * an end. */
+    /* Once complete and timely responses arrive, the view is exact and hints
+     * expire. */
     void
-    settle()
+    check_converges()
     {
         pending.clear();
         for (int i = 0; i < 2; i++) {
             now += 10;
-            deliver(engine.answer(now - 1, true, 0, true));
+            deliver(engine.respond(now - 1, true, 0, true));
         }
         Prompt p = prompt(engine.version);
-        engine.run({ note(p) });
+        engine.run_jobs({ record_request(p) });
         now += 10;
-        deliver(engine.answer(now - 1, false, pgw_cache_last_seq(view), true));
+        deliver(
+            engine.respond(now - 1, false, pgw_cache_last_seq(view), true));
         auto chain = chain_of(p);
-        uint32_t hint = 0;
-        uint32_t sure = pgw_cache_match(view, p.workspace.c_str(), &chain,
-                                        now + kHintUs + 1, &hint);
-        RC_ASSERT(sure == p.text.size() / 64 * kBlock);
-        RC_ASSERT(hint == sure);
+        uint32_t hint_tokens = 0;
+        uint32_t certain_tokens =
+            pgw_cache_match(view, p.workspace.c_str(), &chain,
+                            now + kHintUs + 1, &hint_tokens);
+        RC_ASSERT(certain_tokens == p.text.size() / 64 * kBlock);
+        RC_ASSERT(hint_tokens == certain_tokens);
     }
 };
 
 static void
-certain_means_held()
+certain_blocks_are_cached()
 {
-    World world;
+    Scenario scenario;
     int steps = *rc::gen::inRange(1, 120);
 
     for (int i = 0; i < steps; i++) {
-        world.step();
+        scenario.step();
     }
-    world.settle();
+    scenario.check_converges();
 }
 
-/* However many requests, blocks and levels come, the view stays in its
- * limits. */
+/* The view stays within its limits for any number of requests, blocks and
+ * levels. */
 static void
 memory_is_bounded()
 {
@@ -436,7 +449,8 @@
 int
 main()
 {
-    bool ok = rc::check("certain means held", certain_means_held);
+    bool ok = rc::check("certain blocks are cached",
+                        certain_blocks_are_cached);
 
     ok &= rc::check("memory is bounded", memory_is_bounded);
     return ok ? 0 : 1;
--- a/tests/property/prop_place.cc
+++ b/tests/property/prop_place.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 static std::vector<pgw_place_node>
-pool_of(size_t n, uint32_t zones)
+random_pool(size_t n, uint32_t zones)
 {
     std::vector<pgw_place_node> nodes;
     int salt = *rc::gen::inRange(0, 1000000);
@@ -47,12 +47,12 @@
     return out;
 }
 
-/* Every entry ranks alike, whatever order its list of nodes has; a ranking
- * names each usable node once, and a shorter one is its beginning. */
+/* The ranking does not depend on the order of an entry's list of nodes. It
+ * contains each usable node once, and a shorter ranking is its prefix. */
 static void
-ranking_is_the_same_everywhere()
+ranking_is_independent_of_node_order()
 {
-    auto nodes = pool_of(*rc::gen::inRange<size_t>(1, 60), 3);
+    auto nodes = random_pool(*rc::gen::inRange<size_t>(1, 60), 3);
     auto chain = random_chain(*rc::gen::inRange<size_t>(0, 8));
     size_t k = *rc::gen::inRange<size_t>(1, 10);
     std::vector<size_t> order(nodes.size());
@@ -68,29 +68,30 @@
     for (size_t i : order) {
         shuffled.push_back(nodes[i]);
     }
-    auto one = rank(nodes, chain);
-    auto two = rank(shuffled, chain);
-    auto brief = rank(nodes, chain, k);
+    auto ranking = rank(nodes, chain);
+    auto shuffled_ranking = rank(shuffled, chain);
+    auto shorter = rank(nodes, chain, k);
     size_t usable =
         std::count_if(nodes.begin(), nodes.end(),
                       [](const pgw_place_node &n) { return n.usable; });
-    RC_ASSERT(one.size() == std::min<size_t>(usable, PGW_PLACE_RANK_MAX));
-    RC_ASSERT(two.size() == one.size());
-    RC_ASSERT(brief.size() == std::min(k, one.size()));
-    for (size_t i = 0; i < one.size(); i++) {
-        RC_ASSERT(nodes[one[i]].usable);
-        RC_ASSERT(nodes[one[i]].id_hash == shuffled[two[i]].id_hash);
-        RC_ASSERT(std::count(one.begin(), one.end(), one[i]) == 1);
-        /* An overloaded || would read brief[i] in any case. */
-        if (i < brief.size()) {
-            RC_ASSERT(brief[i] == one[i]);
+    RC_ASSERT(ranking.size() == std::min<size_t>(usable, PGW_PLACE_RANK_MAX));
+    RC_ASSERT(shuffled_ranking.size() == ranking.size());
+    RC_ASSERT(shorter.size() == std::min(k, ranking.size()));
+    for (size_t i = 0; i < ranking.size(); i++) {
+        RC_ASSERT(nodes[ranking[i]].usable);
+        RC_ASSERT(nodes[ranking[i]].id_hash ==
+                  shuffled[shuffled_ranking[i]].id_hash);
+        RC_ASSERT(std::count(ranking.begin(), ranking.end(), ranking[i]) == 1);
+        /* RC_ASSERT overloads ||, which would read shorter[i] in any case. */
+        if (i < shorter.size()) {
+            RC_ASSERT(shorter[i] == ranking[i]);
         }
     }
 }
 
-/* The last level, the whole prompt, is put aside: it is the request's own. */
+/* Appends a level for the whole prompt, which ranking leaves out. */
 static pgw_level_chain
-with_tail(pgw_level_chain chain)
+with_whole_prompt(pgw_level_chain chain)
 {
     chain.levels[chain.count] = { *rc::gen::arbitrary<uint64_t>(),
                                   *rc::gen::arbitrary<uint64_t>(), 99999,
@@ -99,21 +100,22 @@
     return chain;
 }
 
-/* Requests that differ in their question only rank alike; a child lives among
- * the first four of its parent, a grandchild among the first two of it. */
+/* Requests that differ only in the last level have the same ranking. The first
+ * four ranks of a child are among its parent's first four, and the first two
+ * of a grandchild among the child's first two. */
 static void
 children_rank_inside_their_parent()
 {
-    auto nodes = pool_of(*rc::gen::inRange<size_t>(4, 60), 3);
+    auto nodes = random_pool(*rc::gen::inRange<size_t>(4, 60), 3);
     auto full = random_chain(3);
-    auto one = full, two = full;
-
-    one.count = 1;
-    two.count = 2;
-    auto top = rank(nodes, with_tail(one));
-    auto child = rank(nodes, with_tail(two));
-    auto grandchild = rank(nodes, with_tail(full));
-    RC_ASSERT(grandchild == rank(nodes, with_tail(full)));
+    auto one_level = full, two_levels = full;
+
+    one_level.count = 1;
+    two_levels.count = 2;
+    auto top = rank(nodes, with_whole_prompt(one_level));
+    auto child = rank(nodes, with_whole_prompt(two_levels));
+    auto grandchild = rank(nodes, with_whole_prompt(full));
+    RC_ASSERT(grandchild == rank(nodes, with_whole_prompt(full)));
     for (size_t i = 0; i < 4; i++) {
         auto parents = top.begin() + 4;
 
@@ -126,51 +128,51 @@
     }
 }
 
-/* A loss of one node moves only what it held: among the others, the first
- * rank of a level changes for nobody but its own. */
+/* The loss of one node keeps the order of the others, so only levels with
+ * their first rank at the lost node move. */
 static void
-leaving_moves_only_its_own()
+loss_moves_only_levels_of_lost_node()
 {
-    auto nodes = pool_of(*rc::gen::inRange<size_t>(6, 60), 1);
-    size_t gone = *rc::gen::inRange<size_t>(0, nodes.size());
-    auto left = nodes;
+    auto nodes = random_pool(*rc::gen::inRange<size_t>(6, 60), 1);
+    size_t lost = *rc::gen::inRange<size_t>(0, nodes.size());
+    auto remaining = nodes;
 
-    left[gone].usable = false;
+    remaining[lost].usable = false;
     for (int i = 0; i < 20; i++) {
-        auto chain = with_tail(random_chain(1));
+        auto chain = with_whole_prompt(random_chain(1));
         auto before = rank(nodes, chain);
-        auto after = rank(left, chain);
+        auto after = rank(remaining, chain);
 
-        before.erase(std::remove(before.begin(), before.end(), gone),
+        before.erase(std::remove(before.begin(), before.end(), lost),
                      before.end());
         RC_ASSERT(std::equal(before.begin(), before.end(), after.begin()));
     }
 }
 
-/* Nested ranks move a little more than their own: at most a few times the
- * leaving node's part of the prefixes finds another first rank. */
+/* With nested levels a loss also moves other prefixes: at most a few times the
+ * lost node's share of the prefixes gets another first rank. */
 static void
-leaving_moves_few_nested_levels()
+loss_moves_few_nested_levels()
 {
-    auto nodes = pool_of(*rc::gen::inRange<size_t>(10, 40), 3);
-    auto left = nodes;
+    auto nodes = random_pool(*rc::gen::inRange<size_t>(10, 40), 3);
+    auto remaining = nodes;
     size_t moved = 0;
 
-    left[*rc::gen::inRange<size_t>(0, nodes.size())].usable = false;
+    remaining[*rc::gen::inRange<size_t>(0, nodes.size())].usable = false;
     for (int i = 0; i < 100; i++) {
-        auto chain = with_tail(random_chain(3));
+        auto chain = with_whole_prompt(random_chain(3));
 
-        moved += rank(nodes, chain)[0] != rank(left, chain)[0];
+        moved += rank(nodes, chain)[0] != rank(remaining, chain)[0];
     }
     RC_ASSERT(moved <= 400 / nodes.size() + 25);
 }
 
-/* With several zones the first candidates never all sit in one. */
+/* With three zones the first three ranks are in different zones. */
 static void
 first_ranks_span_zones()
 {
-    auto nodes = pool_of(*rc::gen::inRange<size_t>(9, 30), 3);
-    auto ranks = rank(nodes, with_tail(random_chain(1)));
+    auto nodes = random_pool(*rc::gen::inRange<size_t>(9, 30), 3);
+    auto ranks = rank(nodes, with_whole_prompt(random_chain(1)));
 
     RC_ASSERT(nodes[ranks[0]].zone != nodes[ranks[1]].zone);
     RC_ASSERT(nodes[ranks[0]].zone != nodes[ranks[2]].zone);
@@ -195,10 +197,10 @@
     return out;
 }
 
-/* Whatever the weights: the taken one takes work, an answered one goes before
- * a silent one, and its load exceeds the least loaded one's at most by what
- * recomputing the whole prompt there is worth: nine times its prefill, and a
- * twentieth for each rank. */
+/* For any weights, the chosen candidate accepts requests, and a candidate with
+ * a reply is preferred to one without. Its load exceeds that of the least
+ * loaded candidate at most by the cost of recomputing the whole prompt: nine
+ * times its prefill, and a twentieth for each rank. */
 static void
 load_is_bounded()
 {
@@ -206,37 +208,38 @@
     auto candidates = random_candidates(prompt);
     pgw_place_weights weights = PGW_PLACE_WEIGHTS_INIT;
     pgw_place_choice choice;
-    uint64_t least = UINT64_MAX;
-    bool any = false;
+    uint64_t min_load = UINT64_MAX;
+    bool some_accept = false;
 
     weights.ttft_weight = *rc::gen::inRange(0, 101) / 100.0;
     pgw_place_choose(&choice, candidates.data(), candidates.size(), &weights,
                      prompt, *rc::gen::arbitrary<uint64_t>());
-    for (const auto &one : candidates) {
-        if (!one.refuses && !one.leaving) {
-            any = true;
-            if (one.answered) {
-                least = std::min<uint64_t>(least, one.queued_tokens +
-                                                      one.charged_tokens);
+    for (const auto &candidate : candidates) {
+        if (!candidate.refuses && !candidate.leaving) {
+            some_accept = true;
+            if (candidate.answered) {
+                min_load = std::min<uint64_t>(min_load,
+                                              candidate.queued_tokens +
+                                                  candidate.charged_tokens);
             }
         }
     }
-    RC_ASSERT(choice.found == any);
-    if (!any) {
+    RC_ASSERT(choice.found == some_accept);
+    if (!some_accept) {
         RC_ASSERT(choice.spill);
         return;
     }
-    const auto &taken = candidates[choice.position];
-    RC_ASSERT(!taken.refuses && !taken.leaving);
-    RC_ASSERT(taken.answered == (least != UINT64_MAX));
-    if (taken.answered) {
-        RC_ASSERT(taken.queued_tokens + taken.charged_tokens <=
-                  static_cast<double>(least) +
+    const auto &chosen = candidates[choice.position];
+    RC_ASSERT(!chosen.refuses && !chosen.leaving);
+    RC_ASSERT(chosen.answered == (min_load != UINT64_MAX));
+    if (chosen.answered) {
+        RC_ASSERT(chosen.queued_tokens + chosen.charged_tokens <=
+                  static_cast<double>(min_load) +
                       (9 + 0.05 * (candidates.size() - 1)) * prompt + 20);
     }
 }
 
-/* Entries of different zones that meet a new prefix at the same moment, with
+/* Entries of different zones that place a new prefix concurrently, with
  * nothing cached or queued anywhere, choose the same upstream. */
 static void
 new_prefix_goes_to_one_upstream()
@@ -248,24 +251,24 @@
     pgw_place_choice choice;
 
     weights.ttft_weight = *rc::gen::inRange(0, 101) / 100.0;
-    for (auto &one : candidates) {
-        one.answered = true;
-        one.age_us = *rc::gen::inRange<uint64_t>(0, 2000);
-        one.same_zone = *rc::gen::arbitrary<bool>();
+    for (auto &candidate : candidates) {
+        candidate.answered = true;
+        candidate.age_us = *rc::gen::inRange<uint64_t>(0, 2000);
+        candidate.same_zone = *rc::gen::arbitrary<bool>();
     }
     pgw_place_choose(&choice, candidates.data(), candidates.size(), &weights,
                      prompt, *rc::gen::arbitrary<uint64_t>());
     RC_ASSERT(choice.found && choice.position == 0u);
 }
 
-/* Reports of one age that show one upstream idle: many choices by them must
- * not all go there, whether by this entry's own charge or by chance. */
+/* When old reports show one upstream idle, the entry's own charge and the
+ * random jitter keep its choices from all going there. */
 static void
-old_reports_do_not_herd()
+old_reports_do_not_cause_herding()
 {
     size_t n = *rc::gen::inRange<size_t>(2, 9);
     std::vector<pgw_place_candidate> candidates(n);
-    std::vector<int> taken(n, 0);
+    std::vector<int> chosen(n, 0);
     pgw_place_weights weights = PGW_PLACE_WEIGHTS_INIT;
     const int rounds = 400;
 
@@ -280,31 +283,31 @@
 
         pgw_place_choose(&choice, candidates.data(), n, &weights, 500,
                          *rc::gen::arbitrary<uint64_t>());
-        taken[choice.position]++;
+        chosen[choice.position]++;
         candidates[choice.position].charged_tokens += 500;
     }
-    RC_ASSERT(*std::max_element(taken.begin(), taken.end()) <=
+    RC_ASSERT(*std::max_element(chosen.begin(), chosen.end()) <=
               rounds / static_cast<int>(n) + rounds / 10);
 }
 
-/* The charge counts what was sent since a report, to the slot's width. */
+/* The charge counts the tokens sent since a report, to within one slot. */
 static void
-charge_counts_since()
+charge_counts_tokens_since_report()
 {
     pgw_place_charge charge = {};
     uint64_t now = *rc::gen::inRange<uint64_t>(0, 1000000000);
     uint64_t since = now + *rc::gen::inRange<uint64_t>(0, 1500000);
-    uint64_t least = 0, most = 0;
+    uint64_t min_tokens = 0, max_tokens = 0;
 
     for (int i = 0; i < 50; i++) {
         uint64_t at = now + static_cast<uint64_t>(i) * 30000;
 
         pgw_place_charge_add(&charge, 10, at);
-        least += at >= since ? 10 : 0;
-        most += at + PGW_PLACE_CHARGE_SLOT_US >= since ? 10 : 0;
+        min_tokens += at >= since ? 10 : 0;
+        max_tokens += at + PGW_PLACE_CHARGE_SLOT_US >= since ? 10 : 0;
     }
     uint32_t sum = pgw_place_charge_since(&charge, since);
-    RC_ASSERT(sum >= least && sum <= most);
+    RC_ASSERT(sum >= min_tokens && sum <= max_tokens);
     for (int i = 0; i < 50; i++) {
         pgw_place_charge_remove(&charge, 10,
                                 now + static_cast<uint64_t>(i) * 30000);
@@ -315,19 +318,22 @@
 int
 main()
 {
-    bool ok = rc::check("ranking is the same everywhere",
-                        ranking_is_the_same_everywhere);
+    bool ok = rc::check("ranking is independent of node order",
+                        ranking_is_independent_of_node_order);
 
     ok &= rc::check("children rank inside their parent",
                     children_rank_inside_their_parent);
-    ok &= rc::check("leaving moves only its own", leaving_moves_only_its_own);
-    ok &= rc::check("leaving moves few nested levels",
-                    leaving_moves_few_nested_levels);
+    ok &= rc::check("loss moves only levels of the lost node",
+                    loss_moves_only_levels_of_lost_node);
+    ok &= rc::check("loss moves few nested levels",
+                    loss_moves_few_nested_levels);
     ok &= rc::check("first ranks span zones", first_ranks_span_zones);
     ok &= rc::check("load is bounded", load_is_bounded);
     ok &= rc::check("new prefix goes to one upstream",
                     new_prefix_goes_to_one_upstream);
-    ok &= rc::check("old reports do not herd", old_reports_do_not_herd);
-    ok &= rc::check("charge counts since", charge_counts_since);
+    ok &= rc::check("old reports do not cause herding",
+                    old_reports_do_not_cause_herding);
+    ok &= rc::check("charge counts tokens since a report",
+                    charge_counts_tokens_since_report);
     return ok ? 0 : 1;
 }
--- a/tests/property/prop_quarantine.cc
+++ b/tests/property/prop_quarantine.cc
@@ -272,7 +272,8 @@
         if (callers[who].ticket != 0) {
             return;
         }
-        if (pgw_copies_ask(copies, &fingerprint, now + 3600 * kSecond, now)) {
+        if (pgw_copies_register(copies, &fingerprint, now + 3600 * kSecond,
+                                now)) {
             wanted = 0;
         }
         opens.push_back({who, wanted});
@@ -346,7 +347,7 @@
             one.alone = one.alone == ticket ? 0 : one.alone;
             pgw_quarantine_success(one.machine, &fingerprint, ticket, now);
             if (copies != nullptr && i == 0) {
-                pgw_copies_prove(copies, &fingerprint);
+                pgw_copies_mark_completed(copies, &fingerprint);
             }
             answer(ticket, PGW_REFUSAL_COUNT);
         }
--- a/tests/property/prop_retry.cc
+++ b/tests/property/prop_retry.cc
@@ -1,35 +1,36 @@
-// Retries stay a share of first attempts, whatever fails and in whatever
-// order, and waits before them are spread over the whole bound.
+// Retries stay within a share of the first attempts for any order of attempts
+// and failures, and backoff waits are spread over the whole range.
 #include "parsleygw/retry.h"
 #include "prop_support.h"
 
 int
 main()
 {
-    bool good = true;
+    bool passed = true;
 
-    good &= rc::check("retries are at most the burst and the share", [] {
+    passed &= rc::check("retries are at most the burst and the share", [] {
         pgw_retry_options options = PGW_RETRY_OPTIONS_INIT;
-        uint64_t first = 0, retried = 0;
+        uint64_t first_attempts = 0, retries = 0;
 
         options.share_permille = *rc::gen::inRange(0u, 1000u);
         options.burst = *rc::gen::inRange(0u, 50u);
         pgw_retry_budget *budget = pgw_retry_budget_new(&options);
         for (uint32_t number : random_script(500)) {
-            // A dead zone: many more ask for a retry than come anew.
+            // A failed zone: many more retries than first attempts.
             if (number % 4 == 0) {
                 pgw_retry_budget_deposit(budget);
-                first++;
+                first_attempts++;
             }
             else if (pgw_retry_budget_withdraw(budget)) {
-                retried++;
+                retries++;
             }
         }
         pgw_retry_budget_free(budget);
-        RC_ASSERT(retried * 1000 <= options.burst * 1000ull +
-                                        first * options.share_permille);
+        RC_ASSERT(retries * 1000 <=
+                  options.burst * 1000ull +
+                      first_attempts * options.share_permille);
     });
-    good &= rc::check("an unused budget is never lost", [] {
+    passed &= rc::check("enough deposits always allow a retry", [] {
         pgw_retry_options options = PGW_RETRY_OPTIONS_INIT;
 
         options.burst = *rc::gen::inRange(1u, 50u);
@@ -43,7 +44,7 @@
         RC_ASSERT(pgw_retry_budget_withdraw(budget));
         pgw_retry_budget_free(budget);
     });
-    good &= rc::check("waits stay in bounds and are spread", [] {
+    passed &= rc::check("waits stay in bounds and are spread", [] {
         pgw_retry_backoff backoff = PGW_RETRY_BACKOFF_INIT;
         uint32_t failures = *rc::gen::inRange(1u, 40u);
         uint64_t bound = backoff.base_us, low = 0, high = 0;
@@ -65,5 +66,5 @@
         RC_ASSERT(low > 8u);
         RC_ASSERT(high > 8u);
     });
-    return good ? 0 : 1;
+    return passed ? 0 : 1;
 }
--- a/tests/unit/test_copies.c
+++ b/tests/unit/test_copies.c
@@ -18,14 +18,14 @@
     struct pgw_fingerprint one = name(1);
     struct pgw_fingerprint other = name(2);
 
-    g_assert_false(pgw_copies_ask(copies, &one, LATER, 0));
-    g_assert_false(pgw_copies_ask(copies, &other, LATER, 0));
-    g_assert_true(pgw_copies_ask(copies, &one, LATER, 1));
-    pgw_copies_prove(copies, &one);
-    g_assert_false(pgw_copies_ask(copies, &one, LATER, 2));
-    g_assert_true(pgw_copies_ask(copies, &other, LATER, 2));
-    pgw_copies_doubt(copies, &one);
-    g_assert_true(pgw_copies_ask(copies, &one, LATER, 3));
+    g_assert_false(pgw_copies_register(copies, &one, LATER, 0));
+    g_assert_false(pgw_copies_register(copies, &other, LATER, 0));
+    g_assert_true(pgw_copies_register(copies, &one, LATER, 1));
+    pgw_copies_mark_completed(copies, &one);
+    g_assert_false(pgw_copies_register(copies, &one, LATER, 2));
+    g_assert_true(pgw_copies_register(copies, &other, LATER, 2));
+    pgw_copies_mark_crashed(copies, &one);
+    g_assert_true(pgw_copies_register(copies, &one, LATER, 3));
     pgw_copies_free(copies);
 }
 
@@ -35,10 +35,10 @@
     struct pgw_copies *copies = pgw_copies_new(8);
     struct pgw_fingerprint one = name(1);
 
-    g_assert_false(pgw_copies_ask(copies, &one, 10, 0));
-    g_assert_true(pgw_copies_ask(copies, &one, 30, 9));
-    g_assert_true(pgw_copies_ask(copies, &one, 20, 29));
-    g_assert_false(pgw_copies_ask(copies, &one, 40, 30));
+    g_assert_false(pgw_copies_register(copies, &one, 10, 0));
+    g_assert_true(pgw_copies_register(copies, &one, 30, 9));
+    g_assert_true(pgw_copies_register(copies, &one, 20, 29));
+    g_assert_false(pgw_copies_register(copies, &one, 40, 30));
     pgw_copies_free(copies);
 }
 
@@ -48,13 +48,13 @@
     struct pgw_copies *copies = pgw_copies_new(2);
     struct pgw_fingerprint names[] = {name(0), name(1), name(2)};
 
-    pgw_copies_ask(copies, &names[0], LATER, 0);
-    pgw_copies_ask(copies, &names[1], LATER, 0);
-    pgw_copies_ask(copies, &names[0], LATER, 0);
-    pgw_copies_ask(copies, &names[2], LATER, 0);
+    pgw_copies_register(copies, &names[0], LATER, 0);
+    pgw_copies_register(copies, &names[1], LATER, 0);
+    pgw_copies_register(copies, &names[0], LATER, 0);
+    pgw_copies_register(copies, &names[2], LATER, 0);
     g_assert_cmpuint(pgw_copies_size(copies), ==, 2);
-    g_assert_true(pgw_copies_ask(copies, &names[0], LATER, 1));
-    g_assert_false(pgw_copies_ask(copies, &names[1], LATER, 1));
+    g_assert_true(pgw_copies_register(copies, &names[0], LATER, 1));
+    g_assert_false(pgw_copies_register(copies, &names[1], LATER, 1));
     pgw_copies_free(copies);
 }
 
--- a/tests/unit/test_loss.c
+++ b/tests/unit/test_loss.c
@@ -14,14 +14,14 @@
     uint64_t now = 5;
     uint32_t one;
 
-    options.marks_max = 1000;
+    options.suspects_max = 1000;
     pgw_loss_init(&loss, &options);
     for (unsigned i = 0; i < LINKS; i++) {
-        g_assert_true(pgw_loss_judge(&one, &loss, 32, now) == (i == 0));
+        g_assert_true(pgw_loss_record_break(&one, &loss, 32, now) == (i == 0));
         marks += one;
         now += STEP_US;
     }
-    g_assert_cmpuint(marks, ==, PGW_LOSS_MARKS_MAX);
+    g_assert_cmpuint(marks, ==, PGW_LOSS_SUSPECTS_MAX);
 }
 
 static void
@@ -32,13 +32,13 @@
     uint32_t marks;
 
     pgw_loss_init(&loss, &options);
-    g_assert_true(pgw_loss_judge(&marks, &loss, 3, 0));
+    g_assert_true(pgw_loss_record_break(&marks, &loss, 3, 0));
     g_assert_cmpuint(marks, ==, 3);
-    g_assert_false(pgw_loss_judge(&marks, &loss, 3, options.window_us));
+    g_assert_false(pgw_loss_record_break(&marks, &loss, 3, options.window_us));
     g_assert_cmpuint(marks, ==, 0);
     g_assert_true(
-        pgw_loss_judge(&marks, &loss, 40, 2 * options.window_us + 1));
-    g_assert_cmpuint(marks, ==, PGW_LOSS_MARKS_MAX);
+        pgw_loss_record_break(&marks, &loss, 40, 2 * options.window_us + 1));
+    g_assert_cmpuint(marks, ==, PGW_LOSS_SUSPECTS_MAX);
 }
 
 /* Neither what streams since long, nor what was sent to a dead machine. */
