--- a/include/parsleygw/copies.h
+++ b/include/parsleygw/copies.h
@@ -6,54 +6,59 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Copies of a request that has not yet come to a good end
+ * DOC: Concurrent copies of a request
  *
- * Equal requests rank the upstreams alike, so each entry asks the same sidecar
- * first. That one tells the first copy from the later ones: the first goes
- * wherever it is best, the later ones to this sidecar, until one has ended
- * well there. A request that crashes its upstreams is so on two of them at
- * most, however many copies start before the first crash; pgw_quarantine does
- * the rest. &struct pgw_copies is the pure state machine of one sidecar.
+ * Guards against a request that crashes its upstreams. Equal requests rank the
+ * upstreams alike, so each entry probes the same sidecar first. That sidecar
+ * distinguishes the first copy of a request from later ones: the first is
+ * placed wherever it is best, and later ones run at this sidecar until a copy
+ * has completed here. So a request crashes at most two upstreams, however many
+ * copies start before the first crash; &struct pgw_quarantine blocks later
+ * copies. &struct pgw_copies is the state machine of one sidecar and does no
+ * I/O.
  */
 
-/** struct pgw_copies - machine of one process; not thread-safe */
+/** struct pgw_copies - fingerprints seen by one sidecar; not thread-safe */
 struct pgw_copies;
 
 /**
- * pgw_copies_new() - make a machine that knows no requests
- * @count_max: most fingerprints kept; beyond it the one asked for longest ago
- *             is forgotten
+ * pgw_copies_new() - create a state machine without fingerprints
+ * @count_max: maximum number of fingerprints; beyond it the least recently
+ *             registered one is removed
  */
 struct pgw_copies *pgw_copies_new(uint32_t count_max);
 
-/** pgw_copies_free() - free a machine; NULL is allowed */
+/** pgw_copies_free() - free the state machine; NULL is allowed */
 void pgw_copies_free(struct pgw_copies *copies);
 
 /**
- * pgw_copies_register() - an entry is about to place a request
- * @copies: machine of the sidecar that ranks first
- * @fingerprint: of the request
- * @until_us: the request's deadline: it runs nowhere after it
- * @now_us: the time
+ * pgw_copies_register() - register a copy that an entry is about to place
+ * @copies: state machine of the first-ranked sidecar
+ * @fingerprint: fingerprint of the request
+ * @deadline_us: the request's deadline; no copy of it runs after that
+ * @now_us: current time
  *
- * Return: true when it must come here: another copy may run elsewhere and none
- * has ended well here.
+ * Return: true if the copy must run here, since another copy may be running
+ * elsewhere and none has completed here.
  */
 bool pgw_copies_register(struct pgw_copies *copies,
                          const struct pgw_fingerprint *fingerprint,
-                         uint64_t until_us, uint64_t now_us);
+                         uint64_t deadline_us, uint64_t now_us);
 
-/** pgw_copies_mark_completed() - a copy ended well here: others may run
- * anywhere */
+/**
+ * pgw_copies_mark_completed() - a copy completed here: others may run anywhere
+ */
 void pgw_copies_mark_completed(struct pgw_copies *copies,
                                const struct pgw_fingerprint *fingerprint);
 
-/** pgw_copies_mark_crashed() - a copy crashed the upstream here, proven or not
+/**
+ * pgw_copies_mark_crashed() - a copy crashed the upstream here; overrides an
+ * earlier completion
  */
 void pgw_copies_mark_crashed(struct pgw_copies *copies,
                              const struct pgw_fingerprint *fingerprint);
 
-/** pgw_copies_size() - fingerprints kept */
+/** pgw_copies_size() - number of fingerprints */
 uint32_t pgw_copies_size(const struct pgw_copies *copies);
 
 G_END_DECLS
--- a/include/parsleygw/types.h
+++ b/include/parsleygw/types.h
@@ -8,25 +8,25 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Small types that several modules share
+ * DOC: Types shared by several modules
  */
 
 #define PGW_REQUEST_ID_SIZE 16
 
 /**
  * struct pgw_request_id - identity of one caller's request
- * @bytes: 128 random bits, the same over all attempts
+ * @bytes: 128 random bits, the same for all attempts
  */
 struct pgw_request_id {
     uint8_t bytes[PGW_REQUEST_ID_SIZE];
 };
 
 /**
- * enum pgw_priority - order in which an upstream serves waiting requests
- * @PGW_PRIORITY_URGENT: prints and stamp checks
- * @PGW_PRIORITY_INTERACTIVE: somebody waits for the first token
- * @PGW_PRIORITY_NORMAL: somebody waits, but not at a desk
- * @PGW_PRIORITY_BATCH: nobody waits; uses what the others leave
+ * enum pgw_priority - order in which an upstream serves queued requests
+ * @PGW_PRIORITY_URGENT: requests such as prints and stamp checks
+ * @PGW_PRIORITY_INTERACTIVE: a user waits for the first token
+ * @PGW_PRIORITY_NORMAL: a user waits for the result, not interactively
+ * @PGW_PRIORITY_BATCH: no user waits; uses the capacity that is left over
  * @PGW_PRIORITY_COUNT: number of priorities
  */
 enum pgw_priority {
@@ -38,9 +38,9 @@
 };
 
 /**
- * enum pgw_ran - what is known about the run of a request that failed
- * @PGW_RAN_NO: nobody started it
- * @PGW_RAN_YES: it ran, its answer cannot be given
+ * enum pgw_ran - whether a failed request has run
+ * @PGW_RAN_NO: no upstream started it
+ * @PGW_RAN_YES: it ran, but its response is not available
  * @PGW_RAN_UNKNOWN: it may have run
  */
 enum pgw_ran {
@@ -50,25 +50,25 @@
 };
 
 /**
- * enum pgw_refusal - why a request got no whole answer
+ * enum pgw_refusal - why a request got no complete response
  * @PGW_REFUSAL_BAD_REQUEST: malformed or out of range
  * @PGW_REFUSAL_TOO_LARGE: over a size limit
  * @PGW_REFUSAL_UNAUTHORIZED: no valid key
  * @PGW_REFUSAL_FORBIDDEN: the workspace may not use the profile
  * @PGW_REFUSAL_UNKNOWN_PROFILE: no such profile or model
- * @PGW_REFUSAL_OVERLOADED: queues or fair share are full
+ * @PGW_REFUSAL_OVERLOADED: queues are full or the fair share is exhausted
  * @PGW_REFUSAL_DEADLINE: the deadline cannot be or was not met
- * @PGW_REFUSAL_LEAVING: the instance takes no new work
- * @PGW_REFUSAL_STALE: weights version or incarnation is not the asked one
+ * @PGW_REFUSAL_LEAVING: the instance is draining and accepts no new requests
+ * @PGW_REFUSAL_STALE: weights version or incarnation is not the requested one
  * @PGW_REFUSAL_NO_UPSTREAM: no upstream of the pool can be reached
- * @PGW_REFUSAL_UPSTREAM_FAILED: the upstream died or broke its protocol
- * @PGW_REFUSAL_QUARANTINED: the request crashed upstreams before
+ * @PGW_REFUSAL_UPSTREAM_FAILED: the upstream died or violated the protocol
+ * @PGW_REFUSAL_QUARANTINED: the request has crashed upstreams before
  * @PGW_REFUSAL_STORE_DOWN: the claim cannot be written now
  * @PGW_REFUSAL_DUPLICATE: same idempotency key, outcome unknown or pending
  * @PGW_REFUSAL_EXPIRED: the idempotency key is older than the retention
- * @PGW_REFUSAL_NOT_READY: no configuration yet
- * @PGW_REFUSAL_CANCELLED: the caller went away
- * @PGW_REFUSAL_INTERNAL: a fault of this process
+ * @PGW_REFUSAL_NOT_READY: the instance has no configuration yet
+ * @PGW_REFUSAL_CANCELLED: the caller disconnected
+ * @PGW_REFUSAL_INTERNAL: internal error of this process
  * @PGW_REFUSAL_COUNT: number of reasons
  */
 enum pgw_refusal {
@@ -94,7 +94,7 @@
 };
 
 /**
- * pgw_refusal_name() - stable code of a refusal, as callers see it
+ * pgw_refusal_name() - stable code of a refusal in responses to callers
  * @refusal: one of &enum pgw_refusal
  *
  * Return: a static lower-case string, "internal" for a value out of range.
@@ -102,7 +102,7 @@
 const char *pgw_refusal_name(int refusal);
 
 /**
- * pgw_refusal_status() - HTTP status that goes with a refusal
+ * pgw_refusal_status() - HTTP status of a refusal
  * @refusal: one of &enum pgw_refusal
  *
  * Return: the status, 500 for a value out of range.
@@ -116,7 +116,7 @@
 const char *pgw_ran_name(int ran);
 
 /**
- * pgw_priority_name() - name of a priority as profiles write it
+ * pgw_priority_name() - name of a priority in profiles
  * @priority: one of &enum pgw_priority
  *
  * Return: a static string; "batch" for a value out of range.
@@ -124,7 +124,7 @@
 const char *pgw_priority_name(int priority);
 
 /**
- * pgw_priority_parse() - read a priority's name
+ * pgw_priority_parse() - parse the name of a priority
  * @out: receives the priority
  * @name: "urgent", "interactive", "normal" or "batch"
  *
--- a/src/libparsleygw/copies.c
+++ b/src/libparsleygw/copies.c
@@ -2,21 +2,22 @@
 #include "util/list.h"
 
 /**
- * struct request - one fingerprint
- * @link: in the order of the last asking, oldest first
- * @until_us: the latest deadline of its copies
- * @proven: a copy ended well here
+ * struct request - state of one fingerprint
+ * @link: link in the LRU list, least recently registered first
+ * @fingerprint: key in the hash table
+ * @deadline_us: the latest deadline of its copies
+ * @is_completed: a copy completed here and none has crashed the upstream since
  */
 struct request {
     struct pgw_list link;
     struct pgw_fingerprint fingerprint;
-    uint64_t until_us;
-    bool proven;
+    uint64_t deadline_us;
+    bool is_completed;
 };
 
 struct pgw_copies {
     GHashTable *requests;
-    struct pgw_list order;
+    struct pgw_list lru;
     uint32_t count_max;
 };
 
@@ -28,7 +29,7 @@
     copies->count_max = count_max;
     copies->requests = g_hash_table_new_full(
         pgw_fingerprint_hash, pgw_fingerprint_equal, NULL, g_free);
-    pgw_list_init(&copies->order);
+    pgw_list_init(&copies->lru);
     return copies;
 }
 
@@ -43,13 +44,14 @@
 }
 
 static struct request *
-add(struct pgw_copies *copies, const struct pgw_fingerprint *fingerprint)
+add_request(struct pgw_copies *copies,
+            const struct pgw_fingerprint *fingerprint)
 {
     struct request *request = g_new0(struct request, 1);
 
     if (g_hash_table_size(copies->requests) >= copies->count_max) {
-        struct request *oldest = pgw_container_of(
-            pgw_list_first(&copies->order), struct request, link);
+        struct request *oldest = pgw_container_of(pgw_list_first(&copies->lru),
+                                                  struct request, link);
 
         pgw_list_remove(&oldest->link);
         g_hash_table_remove(copies->requests, &oldest->fingerprint);
@@ -62,40 +64,42 @@
 bool
 pgw_copies_register(struct pgw_copies *copies,
                     const struct pgw_fingerprint *fingerprint,
-                    uint64_t until_us, uint64_t now_us)
+                    uint64_t deadline_us, uint64_t now_us)
 {
     struct request *request =
         g_hash_table_lookup(copies->requests, fingerprint);
-    bool here = false;
+    bool must_run_here = false;
 
     if (request == NULL) {
-        request = add(copies, fingerprint);
+        request = add_request(copies, fingerprint);
     }
     else {
 #ifndef PGW_DISABLE_COPIES_GATHER
         /*
          * Failure: many copies of a request that crashes its upstream start
-         * before the first crash. Symptom: as many upstreams as copies crash.
-         * All but the first run on one upstream and crash it once.
+         * before the first crash. Symptom: each copy crashes an upstream. With
+         * the guard all copies but the first run on one upstream and crash it
+         * once.
          */
-        here = !request->proven && now_us < request->until_us;
+        must_run_here =
+            !request->is_completed && now_us < request->deadline_us;
 #endif
         pgw_list_remove(&request->link);
     }
-    request->until_us = MAX(request->until_us, until_us);
-    pgw_list_append(&copies->order, &request->link);
-    return here;
+    request->deadline_us = MAX(request->deadline_us, deadline_us);
+    pgw_list_append(&copies->lru, &request->link);
+    return must_run_here;
 }
 
 static void
-set_proven(struct pgw_copies *copies,
-           const struct pgw_fingerprint *fingerprint, bool proven)
+set_completed(struct pgw_copies *copies,
+              const struct pgw_fingerprint *fingerprint, bool is_completed)
 {
     struct request *request =
         g_hash_table_lookup(copies->requests, fingerprint);
 
     if (request != NULL) {
-        request->proven = proven;
+        request->is_completed = is_completed;
     }
 }
 
@@ -103,14 +107,14 @@
 pgw_copies_mark_completed(struct pgw_copies *copies,
                           const struct pgw_fingerprint *fingerprint)
 {
-    set_proven(copies, fingerprint, true);
+    set_completed(copies, fingerprint, true);
 }
 
 void
 pgw_copies_mark_crashed(struct pgw_copies *copies,
                         const struct pgw_fingerprint *fingerprint)
 {
-    set_proven(copies, fingerprint, false);
+    set_completed(copies, fingerprint, false);
 }
 
 uint32_t
--- a/src/libparsleygw/heap.c
+++ b/src/libparsleygw/heap.c
@@ -1,6 +1,6 @@
 #include "libparsleygw/heap.h"
 
-#define FIRST_ROOM 16
+#define INITIAL_CAPACITY 16
 
 void
 pgw_heap__dispose(struct pgw_heap *heap)
@@ -10,28 +10,28 @@
 }
 
 static void
-put(struct pgw_heap *heap, size_t i, struct pgw_heap_node *node)
+set_node(struct pgw_heap *heap, size_t index, struct pgw_heap_node *node)
 {
-    heap->nodes[i] = node;
-    node->place = i + 1;
+    heap->nodes[index] = node;
+    node->position = index + 1;
 }
 
 static void
-move_up(struct pgw_heap *heap, size_t i, struct pgw_heap_node *node)
+move_up(struct pgw_heap *heap, size_t index, struct pgw_heap_node *node)
 {
-    while (i > 0 && node->key < heap->nodes[(i - 1) / 2]->key) {
-        put(heap, i, heap->nodes[(i - 1) / 2]);
-        i = (i - 1) / 2;
+    while (index > 0 && node->key < heap->nodes[(index - 1) / 2]->key) {
+        set_node(heap, index, heap->nodes[(index - 1) / 2]);
+        index = (index - 1) / 2;
     }
-    put(heap, i, node);
+    set_node(heap, index, node);
 }
 
 static void
-move_down(struct pgw_heap *heap, size_t i, struct pgw_heap_node *node)
+move_down(struct pgw_heap *heap, size_t index, struct pgw_heap_node *node)
 {
     size_t child;
 
-    while ((child = 2 * i + 1) < heap->count) {
+    while ((child = 2 * index + 1) < heap->count) {
         if (child + 1 < heap->count &&
             heap->nodes[child + 1]->key < heap->nodes[child]->key) {
             child++;
@@ -39,18 +39,19 @@
         if (node->key <= heap->nodes[child]->key) {
             break;
         }
-        put(heap, i, heap->nodes[child]);
-        i = child;
+        set_node(heap, index, heap->nodes[child]);
+        index = child;
     }
-    put(heap, i, node);
+    set_node(heap, index, node);
 }
 
 void
 pgw_heap__push(struct pgw_heap *heap, struct pgw_heap_node *node, double key)
 {
-    if (heap->count == heap->room) {
-        heap->room = MAX(2 * heap->room, FIRST_ROOM);
-        heap->nodes = g_renew(struct pgw_heap_node *, heap->nodes, heap->room);
+    if (heap->count == heap->capacity) {
+        heap->capacity = MAX(2 * heap->capacity, INITIAL_CAPACITY);
+        heap->nodes =
+            g_renew(struct pgw_heap_node *, heap->nodes, heap->capacity);
     }
     node->key = key;
     move_up(heap, heap->count++, node);
@@ -59,23 +60,23 @@
 void
 pgw_heap__remove(struct pgw_heap *heap, struct pgw_heap_node *node)
 {
-    size_t i = node->place;
+    size_t index = node->position;
     struct pgw_heap_node *last;
 
-    if (i == 0) {
+    if (index == 0) {
         return;
     }
-    i--;
-    node->place = 0;
+    index--;
+    node->position = 0;
     last = heap->nodes[--heap->count];
     if (last == node) {
         return;
     }
     if (last->key < node->key) {
-        move_up(heap, i, last);
+        move_up(heap, index, last);
     }
     else {
-        move_down(heap, i, last);
+        move_down(heap, index, last);
     }
 }
 
--- a/src/libparsleygw/heap.h
+++ b/src/libparsleygw/heap.h
@@ -7,40 +7,39 @@
 G_BEGIN_DECLS
 
 /**
- * struct pgw_heap_node - link of an intrusive min-heap
- * @key: order; the least comes first
- * @place: one more than its index in the heap, 0 while in none
+ * struct pgw_heap_node - node of an intrusive min-heap
+ * @key: sort key; the smallest comes first
+ * @position: its index in the heap plus one, 0 while it is in no heap
  */
 struct pgw_heap_node {
     double key;
-    size_t place;
+    size_t position;
 };
 
 /**
- * struct pgw_heap - an array of links, each parent's key at most its
- * children's
+ * struct pgw_heap - array in which no node's key is less than its parent's
  * @nodes: the array
- * @count: links in it
- * @room: room in it
+ * @count: number of nodes
+ * @capacity: allocated size of the array
  *
- * Zeroed is empty.
+ * A zeroed struct is an empty heap.
  */
 struct pgw_heap {
     struct pgw_heap_node **nodes;
     size_t count;
-    size_t room;
+    size_t capacity;
 };
 
-/* Frees the array, not the links. */
+/* Frees the array, not the nodes. */
 void pgw_heap__dispose(struct pgw_heap *heap);
 
 void pgw_heap__push(struct pgw_heap *heap, struct pgw_heap_node *node,
                     double key);
 
-/* Does nothing for a link that is in no heap. */
+/* Does nothing for a node that is in no heap. */
 void pgw_heap__remove(struct pgw_heap *heap, struct pgw_heap_node *node);
 
-/* Returns the link of least key, NULL if empty. */
+/* Returns the node with the smallest key, NULL if the heap is empty. */
 struct pgw_heap_node *pgw_heap__first(const struct pgw_heap *heap);
 
 G_END_DECLS
--- a/src/libparsleygw/types.c
+++ b/src/libparsleygw/types.c
@@ -26,7 +26,7 @@
     [PGW_REFUSAL_INTERNAL] = {"internal", 500},
 };
 
-static const char *const priorities[PGW_PRIORITY_COUNT] = {
+static const char *const priority_names[PGW_PRIORITY_COUNT] = {
     [PGW_PRIORITY_URGENT] = "urgent",
     [PGW_PRIORITY_INTERACTIVE] = "interactive",
     [PGW_PRIORITY_NORMAL] = "normal",
@@ -73,14 +73,14 @@
     if (priority < 0 || priority >= PGW_PRIORITY_COUNT) {
         priority = PGW_PRIORITY_BATCH;
     }
-    return priorities[priority];
+    return priority_names[priority];
 }
 
 bool
 pgw_priority_parse(enum pgw_priority *out, const char *name)
 {
     for (int i = 0; i < PGW_PRIORITY_COUNT; i++) {
-        if (g_strcmp0(name, priorities[i]) == 0) {
+        if (g_strcmp0(name, priority_names[i]) == 0) {
             *out = (enum pgw_priority)i;
             return true;
         }
--- a/tests/property/prop_cache.cc
+++ b/tests/property/prop_cache.cc
@@ -321,8 +321,9 @@
         if (pgw_cache_incarnation(view) == 0) {
             return;
         }
-        /* The view never names an engine or weights newer than the current
-         * ones, and names the current ones once a response of them came. */
+        /* The view never has an engine or weights newer than the current ones.
+         * Once a response from the current ones was delivered, it has those.
+         */
         RC_ASSERT(pgw_cache_incarnation(view) <= engine.incarnation);
         int version_number =
             std::stoi(std::string(pgw_cache_version(view)).substr(1));
--- a/tests/unit/test_types.c
+++ b/tests/unit/test_types.c
@@ -1,7 +1,7 @@
 #include "parsleygw/types.h"
 
 static void
-test_refusals_are_complete(void)
+test_every_refusal_has_name_and_status(void)
 {
     for (int i = 0; i < PGW_REFUSAL_COUNT; i++) {
         g_assert_nonnull(pgw_refusal_name(i));
@@ -26,7 +26,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/types/refusals", test_refusals_are_complete);
+    g_test_add_func("/types/refusals", test_every_refusal_has_name_and_status);
     g_test_add_func("/types/priorities", test_priority_round_trip);
     return g_test_run();
 }
