--- a/include/parsleygw/store.h
+++ b/include/parsleygw/store.h
@@ -116,9 +116,9 @@
 /**
  * struct pgw_store_options - settings of the HTTP client
  * @url: base URL, "http://ip:port"
- * @connect_timeout_ms: time for a connection, milliseconds
- * @max_idle: connections kept open between calls
- * @max_response_bytes: largest answer taken, bytes
+ * @connect_timeout_ms: connect timeout, milliseconds
+ * @max_idle: largest number of idle connections kept open
+ * @max_response_bytes: largest response accepted, bytes
  */
 struct pgw_store_options {
     const char *url;
@@ -164,7 +164,7 @@
                          GError **error);
 
 /**
- * pgw_store_put_confirmed() - conditional write that survives a lost answer
+ * pgw_store_put_confirmed() - conditional write that handles a lost response
  * @store: the store
  * @out: as for put_if
  * @kind: kind of the object
--- a/include/parsleygw/watch.h
+++ b/include/parsleygw/watch.h
@@ -26,10 +26,10 @@
 #define PGW_WATCHERS_PER_ZONE 2
 
 /**
- * pgw_watch_is_selected() - does this process watch the store for its zone?
- * @self: instance id of this process
- * @peers: ids of the processes of the zone that may watch; one that is not
- *   among them does not, unless there are none at all
+ * pgw_watch_is_selected() - whether a process is a watcher of its zone
+ * @self: instance id of the process
+ * @peers: instance ids of the candidates in the zone; a process that is not
+ *   among them is not selected, unless @n is 0
  * @n: number of @peers
  * @zone: availability zone
  * @k: number of watchers to select
@@ -42,7 +42,8 @@
                            size_t n, const char *zone, unsigned k);
 
 /**
- * pgw_watch_poll_pause_us() - pause between two own looks of a non-watcher
+ * pgw_watch_poll_pause_us() - pause between two polls by a process that is no
+ * watcher
  * @n: processes in the zone
  * @interval_us: mean time between two polls by any process of the zone
  * @random: random number from 0 to 1
@@ -68,8 +69,8 @@
 /**
  * struct pgw_watch_batch - result of one call to the store
  * @kind: kind of the objects
- * @is_full_list: a list: objects that are missing from it do not exist
- * @list: the objects, or changes, and the collection's version
+ * @is_full_list: @list contains all objects of @kind, not only changes
+ * @list: the objects or changes, and the collection's version
  */
 struct pgw_watch_batch {
     const char *kind;
@@ -103,18 +104,19 @@
  * @self: instance id of this process
  * @zone: availability zone of this process
  * @kinds: NULL-terminated kinds; NULL: the four kinds of configuration
- * @on_batch: takes a batch over, on a thread of the watch: hand it to the
- *   thread that owns the set, release with pgw_watch_batch_free()
- * @data: handed to @on_batch
- * @wait_ms: longest wait of one watch call; also of pgw_watch_free()
- * @peer_grace_us: time for peers to bring a first copy before the store is
- * asked
- * @poll_interval_us: see pgw_watch_poll_pause_us()
- * @fallback_watch_us: how long a process that found missed changes goes on
- * watching
- * @relist_interval_us: time after which a watcher lists again to reconcile
- * @max_backoff_us: longest pause after failures
- * @call_timeout_us: time for one call beyond its wait
+ * @on_batch: receives ownership of a batch, on a thread of the watch; passes
+ *   it to the thread that owns the set; release with pgw_watch_batch_free()
+ * @data: passed to @on_batch
+ * @wait_ms: longest long poll of one watch call; pgw_watch_free() may block
+ *   as long
+ * @peer_grace_us: time for peers to send a first copy before the store is
+ *   called
+ * @poll_interval_us: mean time between two polls by any process of the zone
+ * @fallback_watch_us: time for which a process watches after its poll found a
+ *   change that peers did not send
+ * @relist_interval_us: time after which a watcher lists all objects again
+ * @max_backoff_us: longest pause after failed calls
+ * @call_timeout_us: timeout of one call, in addition to its long poll
  */
 struct pgw_watch_options {
     struct pgw_store *store;
@@ -158,8 +160,7 @@
                          size_t n);
 
 /**
- * pgw_watch_set_local_version() - highest version of a kind that this process
- * holds
+ * pgw_watch_set_local_version() - set the highest local version of a kind
  *
  * Call after applying changes from peers. A process that is no watcher lists
  * a kind from the store if its local version is still 0 after the grace
--- a/src/libparsleygw/frame.c
+++ b/src/libparsleygw/frame.c
@@ -38,10 +38,10 @@
     uint8_t *frame;
 
     g_assert(message->descriptor == descriptors[type]);
-    room = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
-    memcpy(room, &length, sizeof(length));
-    room[sizeof(length)] = (uint8_t)type;
-    protobuf_c_message_pack(message, room + PGW_FRAME_HEADER_SIZE);
+    frame = pgw_buffer_reserve(out, size + PGW_FRAME_HEADER_SIZE);
+    memcpy(frame, &length, sizeof(length));
+    frame[sizeof(length)] = (uint8_t)type;
+    protobuf_c_message_pack(message, frame + PGW_FRAME_HEADER_SIZE);
     out->end += size + PGW_FRAME_HEADER_SIZE;
 }
 
@@ -59,8 +59,8 @@
     length = ntohl(length);
     if (length == 0 || length > PGW_FRAME_MAX_SIZE) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_PROTOCOL,
-                    "frame of %u bytes, allowed are 1 to %zu: check that "
-                    "the peer is a parsleygw process of this version",
+                    "frame length of %u bytes is not between 1 and %zu: check "
+                    "that the peer is a parsleygw process of this version",
                     length, PGW_FRAME_MAX_SIZE);
         return PGW_FRAME_INVALID;
     }
--- a/src/libparsleygw/frame.h
+++ b/src/libparsleygw/frame.h
@@ -12,14 +12,16 @@
  * and the payload), 1 byte of type and a packed protobuf message.
  */
 
-/* Version of the messages; processes of different ones do not talk. */
+/* Version of the protocol. Processes of different versions reject each
+ * other's connections. */
 #define PGW_PROTOCOL_VERSION 1
 #define PGW_FRAME_HEADER_SIZE 5
-/* What a Data frame of @size bytes takes from a window. The fixed part stands
- * for what a receiver makes of it (framing, JSON), so that many small tokens
- * cannot fill the memory of a slow caller's entry either. */
+/* Bytes of the flow control window that a Data frame of @size bytes uses. The
+ * fixed part covers the receiver's overhead (framing, JSON), so that many
+ * small tokens cannot exhaust the memory of an entry with a slow caller. */
 #define PGW_DATA_WINDOW_COST(size) ((size_t)(size) + 192)
-/* Largest frame: a request body of the largest setting and its fields. */
+/* Largest frame: the largest request body that a setting allows, and its other
+ * fields. */
 #define PGW_FRAME_MAX_SIZE ((size_t)10 << 20)
 
 enum pgw_frame_type {
@@ -60,9 +62,10 @@
 
 /**
  * enum pgw_frame_result - outcome of pgw_frame_decode()
- * @PGW_FRAME_INCOMPLETE: the buffer holds no whole frame yet
+ * @PGW_FRAME_INCOMPLETE: the buffer does not contain a complete frame yet
  * @PGW_FRAME_DECODED: one frame was decoded and consumed
- * @PGW_FRAME_INVALID: the stream is not ours to read on; close the connection
+ * @PGW_FRAME_INVALID: the stream is malformed; the caller closes the
+ *   connection
  */
 enum pgw_frame_result {
     PGW_FRAME_INCOMPLETE,
@@ -71,17 +74,17 @@
 };
 
 /**
- * pgw_frame_decode() - decode and consume the frame at the front of a buffer
+ * pgw_frame_decode() - decode and consume the first frame of a buffer
  * @type: receives the type
  * @message: receives the message; free it with pgw_frame_free()
  * @in: received bytes
- * @error: with %PGW_FRAME_INVALID, %PGW_ERROR_PROTOCOL
+ * @error: %PGW_ERROR_PROTOCOL, set for %PGW_FRAME_INVALID
  */
 enum pgw_frame_result pgw_frame_decode(enum pgw_frame_type *type,
                                        ProtobufCMessage **message,
                                        struct pgw_buffer *in, GError **error);
 
-/** pgw_frame_free() - free a message from pgw_frame_decode() */
+/** pgw_frame_free() - free a message returned by pgw_frame_decode() */
 void pgw_frame_free(ProtobufCMessage *message);
 
 #endif
--- a/src/libparsleygw/link.c
+++ b/src/libparsleygw/link.c
@@ -156,7 +156,7 @@
         case PGW_FRAME_INCOMPLETE:
             return;
         case PGW_FRAME_INVALID:
-            link_break(link, error);
+            link_start_close(link, error);
             return;
         case PGW_FRAME_DECODED:
             if (!link->ops->on_frame(link, type, message, link->context)) {
--- a/src/libparsleygw/link.h
+++ b/src/libparsleygw/link.h
@@ -8,10 +8,10 @@
 /**
  * DOC: Framed TCP connection between two processes of the system
  *
- * A link lives on one loop's thread. Sending never blocks: frames queue in
- * memory, and who sends much watches pgw_link_pending_bytes(). A link that
- * breaks reports it once through @on_closed, from the loop and never from
- * inside a send, and is freed by the loop afterwards.
+ * All calls for a link are made on the thread of its loop. Sending never
+ * blocks: frames are queued in memory, and a sender of large amounts limits
+ * itself by pgw_link_pending_bytes(). When the connection ends, the loop calls
+ * @on_closed once, never from inside another call, and then frees the link.
  */
 
 struct pgw_link;
@@ -59,15 +59,16 @@
 void pgw_link_send(struct pgw_link *link, enum pgw_frame_type type,
                    const ProtobufCMessage *message);
 
-/** pgw_link_pending_bytes() - bytes queued and not yet received by the peer */
+/** pgw_link_pending_bytes() - bytes queued or not yet acknowledged by the peer
+ */
 size_t pgw_link_pending_bytes(const struct pgw_link *link);
 
 /** pgw_link_was_refused() - the peer's host refused the connection; valid in
  * @on_closed */
 bool pgw_link_was_refused(const struct pgw_link *link);
 
-/** pgw_link_was_ended_by_peer() - the peer's machine closed, reset or refused
- * it, so that machine answers; to be asked while the link's end is told */
+/** pgw_link_was_ended_by_peer() - the peer's host closed, reset or refused the
+ * connection, so that host is reachable; valid in @on_closed */
 bool pgw_link_was_ended_by_peer(const struct pgw_link *link);
 
 /** pgw_link_is_open() - connected, without send error and not closing */
--- a/src/libparsleygw/store_http.c
+++ b/src/libparsleygw/store_http.c
@@ -65,8 +65,8 @@
 {
     struct call *call = pointer;
 
-    if (call->answer->len + size * count > call->store->max_response_bytes) {
-        call->too_large = true;
+    if (call->response->len + size * count > call->store->max_response_bytes) {
+        call->response_too_large = true;
         return 0;
     }
     g_string_append_len(call->response, data, (gssize)(size * count));
@@ -197,8 +197,8 @@
 
     if (call->response_too_large) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_TOO_LARGE,
-                    "%s: answer over %zu bytes: split the collection",
-                    call->what, call->store->max_response_bytes);
+                    "%s: response exceeds %zu bytes: split the collection",
+                    call->label, call->store->max_response_bytes);
     }
     else if (!was_sent(call, code)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_UNAVAILABLE,
@@ -318,9 +318,9 @@
     *out = (struct pgw_store_object){0};
     call_init(&call, http_store(store), "GET", "/objects/%s/%s", kind, name);
     ok = call_run(&call, deadline_us, error);
-    if (ok &&
-        !pgw_store__parse_object(out, call.answer->str, call.answer->len)) {
-        ok = set_nonsense_error(&call, error);
+    if (ok && !pgw_store__parse_object(out, call.response->str,
+                                       call.response->len)) {
+        ok = set_malformed_error(&call, error);
     }
     call_dispose(&call);
     return ok;
@@ -333,9 +333,9 @@
     bool ok = call_run(call, deadline_us, error);
 
     *out = (struct pgw_store_list){0};
-    if (ok && !pgw_store__parse_list(out, call->answer->str, call->answer->len,
-                                     member)) {
-        ok = set_nonsense_error(call, error);
+    if (ok && !pgw_store__parse_list(out, call->response->str,
+                                     call->response->len, member)) {
+        ok = set_malformed_error(call, error);
     }
     call_dispose(call);
     return ok;
@@ -378,7 +378,8 @@
     call_set_body(&call, value);
     ok = call_run(&call, deadline_us, error);
     if ((ok || call.status == 409) &&
-        !pgw_store__parse_object(out, call.answer->str, call.answer->len)) {
+        !pgw_store__parse_object(out, call.response->str,
+                                 call.response->len)) {
         if (ok) {
             ok = set_malformed_error(&call, error);
         }
@@ -415,9 +416,9 @@
     *out = (struct pgw_store_instances){0};
     call_init(&call, http_store(store), "GET", "/instances");
     ok = call_run(&call, deadline_us, error);
-    if (ok &&
-        !pgw_store__parse_instances(out, call.answer->str, call.answer->len)) {
-        ok = set_nonsense_error(&call, error);
+    if (ok && !pgw_store__parse_instances(out, call.response->str,
+                                          call.response->len)) {
+        ok = set_malformed_error(&call, error);
     }
     call_dispose(&call);
     return ok;
--- a/src/libparsleygw/store_response.h
+++ b/src/libparsleygw/store_response.h
@@ -3,7 +3,8 @@
 
 #include "parsleygw/store.h"
 
-/* Reading of the object API's answers. False: the answer makes no sense. */
+/* Parsers for responses of the object API. They return false and leave @out
+ * empty if the response is malformed. */
 bool pgw_store__parse_object(struct pgw_store_object *out, const char *text,
                              size_t size);
 bool pgw_store__parse_list(struct pgw_store_list *out, const char *text,
--- a/src/libparsleygw/watch.c
+++ b/src/libparsleygw/watch.c
@@ -87,8 +87,8 @@
 }
 
 static void
-hand_over(struct watcher *watcher, struct pgw_store_list *list,
-          bool is_full_list)
+deliver_batch(struct watcher *watcher, struct pgw_store_list *list,
+              bool is_full_list)
 {
     struct pgw_watch_batch *batch;
 
@@ -115,7 +115,7 @@
     ok =
         pgw_store_list(watch->options.store, &list, watcher->kind,
                        (uint64_t)now + watch->options.call_timeout_us, &error);
-    note_result(watcher, error);
+    record_result(watcher, error);
     g_clear_error(&error);
     if (!ok) {
         return false;
@@ -137,8 +137,9 @@
     struct pgw_watch *watch = watcher->watch;
     struct pgw_store_list changes;
     GError *error = NULL;
-    uint64_t limit = watch->options.call_timeout_us + (uint64_t)wait_ms * 1000;
-    bool too_old;
+    uint64_t timeout_us =
+        watch->options.call_timeout_us + (uint64_t)wait_ms * 1000;
+    bool expired;
     bool ok;
 
     ok = pgw_store_watch(
@@ -195,8 +196,8 @@
     gint64 now = g_get_monotonic_time();
     bool found;
 
-    if (!watcher->listed || watcher->too_old ||
-        now - watcher->listed_at > (gint64)options->relist_interval_us) {
+    if (!watcher->is_listed || watcher->cursor_expired ||
+        now - watcher->listed_at_us > (gint64)options->relist_interval_us) {
         return list_all(watcher);
     }
     return watch_once(watcher, watcher->cursor, options->wait_ms, &found);
@@ -236,7 +237,7 @@
     }
 #endif
     if (found) {
-        watcher->extra_until =
+        watcher->fallback_until_us =
             g_get_monotonic_time() + (gint64)options->fallback_watch_us;
     }
     return true;
@@ -249,7 +250,7 @@
 {
     struct pgw_watch *watch = watcher->watch;
     gint64 now = g_get_monotonic_time();
-    uint64_t pause = pgw_watch_poll_pause_us(
+    uint64_t pause_us = pgw_watch_poll_pause_us(
         role->n_peers, watch->options.poll_interval_us, g_random_double());
 
     watcher->is_listed = false;
@@ -279,10 +280,10 @@
 wait_for_peers(struct watcher *watcher)
 {
     struct pgw_watch *watch = watcher->watch;
-    uint64_t grace = watch->options.peer_grace_us;
-    gint64 until = watch->started_at + (gint64)grace +
-                   (gint64)(g_random_double() * (double)grace);
-    bool go_on = true;
+    uint64_t peer_grace_us = watch->options.peer_grace_us;
+    gint64 until_us = watch->started_at_us + (gint64)peer_grace_us +
+                      (gint64)(g_random_double() * (double)peer_grace_us);
+    bool keep_running = true;
 
 #ifdef PGW_DISABLE_WATCH_GRACE
     until_us = 0;
@@ -317,8 +318,9 @@
             ok = step_idle(watcher, &role);
         }
         if (!ok) {
-            pause = pgw_watch_backoff_us(
-                watcher->failures, options->max_backoff_us, g_random_double());
+            pause_us = pgw_watch_backoff_us(watcher->consecutive_failures,
+                                            options->max_backoff_us,
+                                            g_random_double());
         }
         keep_running = wait_for(watch, pause_us);
     }
@@ -378,8 +380,8 @@
 pgw_watch_set_peers(struct pgw_watch *watch, const char *const *peers,
                     size_t n)
 {
-    bool mine = pgw_watch_is_selected(watch->self, peers, n, watch->zone,
-                                      PGW_WATCHERS_PER_ZONE);
+    bool is_selected = pgw_watch_is_selected(
+        watch->self, peers, n, watch->zone, PGW_WATCHERS_PER_ZONE);
 
     pthread_mutex_lock(&watch->lock);
     watch->peers_known = true;
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -138,7 +138,7 @@
                       void *data)
 {
     if (batch->is_full_list) {
-        foreach_missing(batch, set, func, data);
+        delete_missing(batch, set, func, data);
     }
     for (size_t i = 0; i < batch->list.n; i++) {
         const struct pgw_store_object *object = &batch->list.objects[i];
@@ -149,7 +149,7 @@
                  data);
         }
     }
-    if (batch->is_full_list && is_complete(batch, set)) {
+    if (batch->is_full_list && is_applied(batch, set)) {
         pgw_config_set_listed(set, batch->kind, batch->list.version);
     }
 }
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -35,10 +35,10 @@
             pgw_frame_append(&in, type, message);
             in.end -= protobuf_c_message_get_packed_size(message) +
                       PGW_FRAME_HEADER_SIZE;
-            tally->taken++;
+            counts->decoded++;
         }
-        tally->broken += result == PGW_FRAME_INVALID;
-        tally->more += result == PGW_FRAME_INCOMPLETE;
+        counts->invalid += result == PGW_FRAME_INVALID;
+        counts->incomplete += result == PGW_FRAME_INCOMPLETE;
         pgw_frame_free(message);
         g_clear_error(&error);
     } while (result == PGW_FRAME_DECODED);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -217,25 +217,25 @@
     uint64_t version;
 
     fixture_init(&fixture);
-    order(&fixture, "_control", "{\"lose_answers\":1}");
+    post_control(&fixture, "_control", "{\"lose_answers\":1}");
     g_assert_true(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
                                           0, "{\"by\":\"n1\"}", "n1",
-                                          in_seconds(20), &error));
+                                          deadline_after(20), &error));
     g_assert_no_error(error);
     version = object.version;
     g_assert_cmpuint(version, >, 0);
     pgw_store_object_dispose(&object);
 
-    /* Without a lost answer another writer's value is a plain conflict. */
+    /* Without a lost response, another writer's value is a plain conflict. */
     g_assert_false(pgw_store_put_confirmed(fixture.store, &object, "pool", "a",
                                            0, "{\"by\":\"n2\"}", "n2",
-                                           in_seconds(20), &error));
+                                           deadline_after(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_CONFLICT);
     g_clear_error(&error);
     g_assert_cmpstr(object.value, ==, "{\"by\":\"n1\"}");
     pgw_store_object_dispose(&object);
 
-    order(&fixture, "_control", "{\"outage\":true}");
+    post_control(&fixture, "_control", "{\"outage\":true}");
     g_assert_false(pgw_store_put_confirmed(
         fixture.store, &object, "pool", "a", version, "{\"by\":\"n3\"}", "n3",
         (uint64_t)g_get_monotonic_time() + 100000, &error));
@@ -296,7 +296,7 @@
 
     g_assert_false(pgw_store_put_confirmed(&fake.base, &object, "pool", "a", 1,
                                            "{\"by\":\"n1\"}", "n1",
-                                           in_seconds(20), &error));
+                                           deadline_after(20), &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_UNKNOWN_OUTCOME);
     g_assert_cmpuint(fake.writes, ==, 1);
     g_clear_error(&error);
