--- a/include/parsleygw/admit.h
+++ b/include/parsleygw/admit.h
@@ -29,8 +29,8 @@
  * @max_prefill_tokens: uncached tokens handed to the upstream whose first
  *     token has not come; a single larger prompt may go alone
  * @max_waiting: waiting requests; each workspace may fill its share of it
- * @starve_us: a lower priority that has waited so long without a start gets
- *     one start
+ * @starvation_us: a lower priority that has waited so long without a start
+ * gets one start
  * @prefill_tokens_per_s: first guess, learned from then on
  * @step_us: first guess of the time of one decode step, learned
  */
@@ -39,7 +39,7 @@
     uint32_t reserved;
     uint32_t max_prefill_tokens;
     uint32_t max_waiting;
-    uint64_t starve_us;
+    uint64_t starvation_us;
     double prefill_tokens_per_s;
     double step_us;
 };
@@ -47,7 +47,7 @@
 #define PGW_ADMIT_OPTIONS_INIT                                                \
     {                                                                         \
         .max_running = 32, .reserved = 4, .max_prefill_tokens = 2048,         \
-        .max_waiting = 4096, .starve_us = 5000000,                            \
+        .max_waiting = 4096, .starvation_us = 5000000,                        \
         .prefill_tokens_per_s = 10000.0, .step_us = 20000.0                   \
     }
 
@@ -172,7 +172,8 @@
 struct pgw_admit_item *pgw_admit_next(struct pgw_admit *admit, uint64_t now);
 
 /**
- * pgw_admit_correct() - the tokens to compute are known better by now
+ * pgw_admit_set_uncached_tokens() - the tokens to compute are known better by
+ * now
  * @admit: the gate
  * @item: waiting or running
  * @uncached_tokens: new count
@@ -181,8 +182,9 @@
  * pgw_admit_first_token() with what the upstream's answer says, so that the
  * rate is learned from what was computed and not from what was expected.
  */
-void pgw_admit_correct(struct pgw_admit *admit, struct pgw_admit_item *item,
-                       uint32_t uncached_tokens);
+void pgw_admit_set_uncached_tokens(struct pgw_admit *admit,
+                                   struct pgw_admit_item *item,
+                                   uint32_t uncached_tokens);
 
 /**
  * pgw_admit_first_token() - a running item's prefill is over
--- a/include/parsleygw/claim.h
+++ b/include/parsleygw/claim.h
@@ -55,16 +55,16 @@
     }
 
 /**
- * struct pgw_claim_place - where a key is decided
+ * struct pgw_claim_location - where a key is decided
  * @name: name of its object
  * @shard: number of its shard, to choose the service instance by
- * @birth_us: birth time of a UUIDv7 key, 0 for any other
+ * @created_us: birth time of a UUIDv7 key, 0 for any other
  * @expired: the key is older than the retention: its record may be gone
  */
-struct pgw_claim_place {
+struct pgw_claim_location {
     char name[PGW_CLAIM_NAME_SIZE];
     uint32_t shard;
-    uint64_t birth_us;
+    uint64_t created_us;
     bool expired;
 };
 
@@ -77,18 +77,18 @@
  * @now_us: the time
  * @error: %PGW_ERROR_INVALID: a malformed key, or one born in the future
  */
-bool pgw_claim_locate(struct pgw_claim_place *out,
+bool pgw_claim_locate(struct pgw_claim_location *out,
                       const struct pgw_claim_layout *layout,
                       const char *workspace, const char *key, uint64_t now_us,
                       GError **error);
 
 /**
- * pgw_claim_key_birth() - birth time in a UUIDv7
+ * pgw_claim_key_created_us() - birth time in a UUIDv7
  * @key: idempotency key
  *
  * Return: microseconds since 1970, 0 when @key is not a UUIDv7.
  */
-uint64_t pgw_claim_key_birth(const char *key);
+uint64_t pgw_claim_key_created_us(const char *key);
 
 /**
  * pgw_claim_object_is_expired() - whether an object may be deleted
@@ -127,13 +127,13 @@
 void pgw_claim_sweep_free(struct pgw_claim_sweep *sweep);
 
 /**
- * pgw_claim_sweep_used() - an object came into use in this process
+ * pgw_claim_sweep_schedule() - an object came into use in this process
  * @sweep: machine
  * @name: the object's name
  * @now_us: the time
  */
-void pgw_claim_sweep_used(struct pgw_claim_sweep *sweep, const char *name,
-                          uint64_t now_us);
+void pgw_claim_sweep_schedule(struct pgw_claim_sweep *sweep, const char *name,
+                              uint64_t now_us);
 
 /**
  * pgw_claim_sweep_next_io() - take the next store operation
@@ -248,7 +248,8 @@
  * enum pgw_claim_action - what to do with a call
  * @PGW_CLAIM_PENDING: wait; pgw_claim_next_decision() will name its ticket
  * @PGW_CLAIM_RUN: hand it to the upstream now, then report by
- *                 pgw_claim_finish(), pgw_claim_release() or pgw_claim_lose()
+ *                 pgw_claim_finish(), pgw_claim_release() or
+ * pgw_claim_mark_lost()
  * @PGW_CLAIM_REPLAY: give the recorded answer
  * @PGW_CLAIM_REFUSE: refuse it
  */
@@ -333,13 +334,14 @@
                        uint64_t now_us);
 
 /**
- * pgw_claim_lose() - the call may have run, its answer will never be known
+ * pgw_claim_mark_lost() - the call may have run, its answer will never be
+ * known
  * @shard: machine
  * @ticket: of a call that was told to run
  * @now_us: the time
  */
-bool pgw_claim_lose(struct pgw_claim_shard *shard, uint64_t ticket,
-                    uint64_t now_us);
+bool pgw_claim_mark_lost(struct pgw_claim_shard *shard, uint64_t ticket,
+                         uint64_t now_us);
 
 /**
  * pgw_claim_cancel() - a call that is still pending is given up
@@ -389,15 +391,15 @@
  * @shard: machine
  *
  * For a planned stop: new calls are refused as LEAVING, not run. Go on with
- * the store operations until pgw_claim_shard_is_settled().
+ * the store operations until pgw_claim_shard_is_drained().
  */
 void pgw_claim_shard_close(struct pgw_claim_shard *shard);
 
 /**
- * pgw_claim_shard_is_settled() - whether nothing would be lost by freeing it
+ * pgw_claim_shard_is_drained() - whether nothing would be lost by freeing it
  * @shard: machine
  */
-bool pgw_claim_shard_is_settled(const struct pgw_claim_shard *shard);
+bool pgw_claim_shard_is_drained(const struct pgw_claim_shard *shard);
 
 /**
  * struct pgw_claim_stats - counters since pgw_claim_shard_new()
--- a/include/parsleygw/version.h
+++ b/include/parsleygw/version.h
@@ -24,7 +24,7 @@
  */
 
 /* Versions that one pool serves at a time, the declared one included. */
-#define PGW_VERSION_PARTS 3
+#define PGW_VERSIONS_MAX 3
 
 /**
  * struct pgw_version_track - versions of a pool that requests may get
@@ -39,18 +39,18 @@
  */
 struct pgw_version_track {
     char declared[PGW_CONFIG_NAME_MAX + 1];
-    char earlier[PGW_VERSION_PARTS - 1][PGW_CONFIG_NAME_MAX + 1];
+    char earlier[PGW_VERSIONS_MAX - 1][PGW_CONFIG_NAME_MAX + 1];
     size_t n_earlier;
     bool is_known;
 };
 
 /**
- * pgw_version_track_declare() - the pool's object names a version
+ * pgw_version_track_set_target() - the pool's object names a version
  * @track: the pool's
  * @version: what it names now; the same as before changes nothing
  */
-void pgw_version_track_declare(struct pgw_version_track *track,
-                               const char *version);
+void pgw_version_track_set_target(struct pgw_version_track *track,
+                                  const char *version);
 
 /**
  * pgw_version_track_observe() - look whether the change is over
@@ -82,7 +82,7 @@
  * @engines: sum over all
  */
 struct pgw_version_split {
-    struct pgw_version_part parts[PGW_VERSION_PARTS];
+    struct pgw_version_part parts[PGW_VERSIONS_MAX];
     size_t n;
     size_t engines;
 };
@@ -118,7 +118,7 @@
  * moment later. Zeroed is a new one.
  */
 struct pgw_version_tried {
-    char names[PGW_VERSION_PARTS][PGW_CONFIG_NAME_MAX + 1];
+    char names[PGW_VERSIONS_MAX][PGW_CONFIG_NAME_MAX + 1];
     size_t n;
 };
 
--- a/src/libparsleygw/admit.c
+++ b/src/libparsleygw/admit.c
@@ -128,7 +128,7 @@
 /*
  * Strict priorities alone starve batch work for ever while others keep the
  * upstream full: the overnight run would never complete. So a priority that
- * has waited starve_us without a start gets one, whatever waits above it;
+ * has waited starvation_us without a start gets one, whatever waits above it;
  * what this costs the others is one request in that time.
  */
 static struct pgw_admit_item *
@@ -139,7 +139,7 @@
         const struct pgw_fair_queue *queue = &admit->queues[i];
 
         if (queue->count > 0 &&
-            now >= queue->last_start + admit->options.starve_us &&
+            now >= queue->last_start + admit->options.starvation_us &&
             admit->running < admit->options.max_running) {
             return pgw_fair_queue__first(queue);
         }
@@ -287,8 +287,9 @@
 }
 
 void
-pgw_admit_correct(struct pgw_admit *admit, struct pgw_admit_item *item,
-                  uint32_t uncached_tokens)
+pgw_admit_set_uncached_tokens(struct pgw_admit *admit,
+                              struct pgw_admit_item *item,
+                              uint32_t uncached_tokens)
 {
     if (item->state == PGW_ADMIT_WAITING && item->at.flow != NULL) {
         pgw_fair_queue__correct(queue_of(admit, item), item, uncached_tokens);
--- a/src/libparsleygw/claim.c
+++ b/src/libparsleygw/claim.c
@@ -227,7 +227,7 @@
     struct pgw_claim_slot *slot = g_new0(struct pgw_claim_slot, 1);
 
     slot->name = g_strdup(name);
-    slot->birth_us = pgw_claim_key_birth(request->key);
+    slot->created_us = pgw_claim_key_created_us(request->key);
     pgw_list_init(&slot->waiters);
     g_hash_table_insert(shard->slots, slot->name, slot);
     return slot;
@@ -277,7 +277,7 @@
     };
     bool waits = shard->down && shard->now_us < shard->retry_us;
     bool mine = !inquiry && pgw_claim__window_is_mine(
-                                shard, pgw_claim_key_birth(request->key));
+                                shard, pgw_claim_key_created_us(request->key));
 
     if (waits && !mine) {
         decision = pgw_claim__refusal(request->ticket,
@@ -331,7 +331,7 @@
 static struct pgw_claim_decision
 begin(struct pgw_claim_shard *shard, const struct pgw_claim_request *request)
 {
-    uint64_t birth_us = pgw_claim_key_birth(request->key);
+    uint64_t created_us = pgw_claim_key_created_us(request->key);
     uint64_t ticket = request->ticket;
     struct pgw_claim_record *record;
     struct pgw_claim_decision decision;
@@ -344,8 +344,8 @@
      * absent record looks like a key never used, and it runs again. The key
      * itself says when it was born, so it is refused without a record.
      */
-    if (birth_us != 0 &&
-        birth_us + shard->options.retention_us < shard->now_us) {
+    if (created_us != 0 &&
+        created_us + shard->options.retention_us < shard->now_us) {
         return pgw_claim__refusal(ticket, PGW_REFUSAL_EXPIRED,
                                   PGW_RAN_UNKNOWN);
     }
@@ -368,10 +368,10 @@
                 : PGW_RAN_NO);
         return decision;
     }
-    return ask(
-        shard, NULL, name, request,
-        (record != NULL && !pgw_claim__is_own(shard, record)) ||
-            (record == NULL && pgw_claim__window_is_foreign(shard, birth_us)));
+    return ask(shard, NULL, name, request,
+               (record != NULL && !pgw_claim__is_own(shard, record)) ||
+                   (record == NULL &&
+                    pgw_claim__window_is_foreign(shard, created_us)));
 }
 
 void
@@ -452,7 +452,8 @@
 }
 
 bool
-pgw_claim_lose(struct pgw_claim_shard *shard, uint64_t ticket, uint64_t now_us)
+pgw_claim_mark_lost(struct pgw_claim_shard *shard, uint64_t ticket,
+                    uint64_t now_us)
 {
     struct pgw_claim_slot *slot;
 
--- a/src/libparsleygw/claim_io.c
+++ b/src/libparsleygw/claim_io.c
@@ -310,7 +310,7 @@
 }
 
 bool
-pgw_claim_shard_is_settled(const struct pgw_claim_shard *shard)
+pgw_claim_shard_is_drained(const struct pgw_claim_shard *shard)
 {
     return g_hash_table_size(shard->slots) == 0 &&
            shard->outstanding == PGW_IO_NONE &&
--- a/src/libparsleygw/claim_key.c
+++ b/src/libparsleygw/claim_key.c
@@ -29,7 +29,7 @@
 }
 
 uint64_t
-pgw_claim_key_birth(const char *key)
+pgw_claim_key_created_us(const char *key)
 {
     static const char form[] = "xxxxxxxx-xxxx-7xxx-xxxx-xxxxxxxxxxxx";
     uint64_t milliseconds = 0;
@@ -63,7 +63,7 @@
 }
 
 bool
-pgw_claim_locate(struct pgw_claim_place *out,
+pgw_claim_locate(struct pgw_claim_location *out,
                  const struct pgw_claim_layout *layout, const char *workspace,
                  const char *key, uint64_t now_us, GError **error)
 {
@@ -78,23 +78,24 @@
         return false;
     }
     out->shard = shard_of(layout, workspace, key);
-    out->birth_us = pgw_claim_key_birth(key);
+    out->created_us = pgw_claim_key_created_us(key);
     out->expired = false;
-    if (out->birth_us == 0) {
+    if (out->created_us == 0) {
         g_snprintf(out->name, sizeof(out->name), "%s.%u." UNDATED,
                    layout->service, out->shard);
         return true;
     }
-    if (out->birth_us > now_us + layout->skew_us) {
+    if (out->created_us > now_us + layout->skew_us) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_INVALID,
                     "idempotency key was born %" G_GUINT64_FORMAT
                     " s in the future; set the caller's clock",
-                    (out->birth_us - now_us) / G_USEC_PER_SEC);
+                    (out->created_us - now_us) / G_USEC_PER_SEC);
         return false;
     }
     g_snprintf(out->name, sizeof(out->name), "%s.%u.%" G_GUINT64_FORMAT,
-               layout->service, out->shard, out->birth_us / layout->period_us);
-    out->expired = out->birth_us + layout->retention_us < now_us;
+               layout->service, out->shard,
+               out->created_us / layout->period_us);
+    out->expired = out->created_us + layout->retention_us < now_us;
     return true;
 }
 
--- a/src/libparsleygw/claim_settle.c
+++ b/src/libparsleygw/claim_reconcile.c
@@ -60,7 +60,7 @@
         return false;
     }
     if (record == NULL &&
-        pgw_claim__window_is_foreign(shard, slot->birth_us)) {
+        pgw_claim__window_is_foreign(shard, slot->created_us)) {
         refuse_all(shard, slot, PGW_REFUSAL_DUPLICATE, PGW_RAN_UNKNOWN);
         return false;
     }
@@ -214,7 +214,7 @@
         pgw_claim__object_get(shard->base, slot->name);
 
     return (record == NULL || pgw_claim__is_own(shard, record)) &&
-           pgw_claim__window_is_mine(shard, slot->birth_us);
+           pgw_claim__window_is_mine(shard, slot->created_us);
 }
 
 static bool
--- a/src/libparsleygw/claim_shard.h
+++ b/src/libparsleygw/claim_shard.h
@@ -37,7 +37,7 @@
     char nonce[PGW_CLAIM_NONCE_SIZE];
     uint64_t claimed_us;
     uint64_t ended_us;
-    uint64_t birth_us;
+    uint64_t created_us;
     uint64_t runner;
     struct pgw_claim_record *record;
     struct pgw_list waiters;
@@ -135,11 +135,11 @@
 
 /** pgw_claim__window_is_mine() - may decide a key from memory alone */
 bool pgw_claim__window_is_mine(const struct pgw_claim_shard *shard,
-                               uint64_t birth_us);
+                               uint64_t created_us);
 
 /** pgw_claim__window_is_foreign() - only another process may decide a key */
 bool pgw_claim__window_is_foreign(const struct pgw_claim_shard *shard,
-                                  uint64_t birth_us);
+                                  uint64_t created_us);
 
 /** pgw_claim__window_is_due() - the own window must be extended or removed */
 bool pgw_claim__window_is_due(const struct pgw_claim_shard *shard);
--- a/src/libparsleygw/claim_sweep.c
+++ b/src/libparsleygw/claim_sweep.c
@@ -61,8 +61,8 @@
 }
 
 void
-pgw_claim_sweep_used(struct pgw_claim_sweep *sweep, const char *name,
-                     uint64_t now_us)
+pgw_claim_sweep_schedule(struct pgw_claim_sweep *sweep, const char *name,
+                         uint64_t now_us)
 {
     uint64_t period_us = sweep->layout.period_us;
     uint64_t age = sweep->layout.retention_us + sweep->slack_us + period_us;
--- a/src/libparsleygw/claim_window.c
+++ b/src/libparsleygw/claim_window.c
@@ -2,7 +2,7 @@
 
 bool
 pgw_claim__window_is_mine(const struct pgw_claim_shard *shard,
-                          uint64_t birth_us)
+                          uint64_t created_us)
 {
     const struct pgw_claim_window *window =
         pgw_claim__object_window(shard->base, shard->options.owner);
@@ -12,14 +12,14 @@
      * although its answer is out: only what every asked-for window covers is
      * certainly still this process's own.
      */
-    return window != NULL && !shard->closing && birth_us != 0 &&
-           birth_us >= MAX(window->from_us, shard->window_floor_us) &&
-           birth_us <= window->to_us;
+    return window != NULL && !shard->closing && created_us != 0 &&
+           created_us >= MAX(window->from_us, shard->window_floor_us) &&
+           created_us <= window->to_us;
 }
 
 bool
 pgw_claim__window_is_foreign(const struct pgw_claim_shard *shard,
-                             uint64_t birth_us)
+                             uint64_t created_us)
 {
 #ifndef PGW_DISABLE_CLAIM_WINDOW
     /*
@@ -28,18 +28,18 @@
      * them again. Nobody but the owner's own incarnation may decide a key of
      * its window, so an unrecorded one is "unknown" to all others for good.
      */
-    for (guint i = 0; birth_us != 0 && i < shard->base->windows->len; i++) {
+    for (guint i = 0; created_us != 0 && i < shard->base->windows->len; i++) {
         const struct pgw_claim_window *window =
             &g_array_index(shard->base->windows, struct pgw_claim_window, i);
 
         if (window->owner != shard->options.owner &&
-            birth_us >= window->from_us && birth_us <= window->to_us) {
+            created_us >= window->from_us && created_us <= window->to_us) {
             return true;
         }
     }
 #else
     (void)shard;
-    (void)birth_us;
+    (void)created_us;
 #endif
     return false;
 }
--- a/src/libparsleygw/version.c
+++ b/src/libparsleygw/version.c
@@ -24,12 +24,12 @@
     memmove(track->earlier[1], track->earlier[0],
             sizeof(track->earlier) - sizeof(track->earlier[0]));
     g_strlcpy(track->earlier[0], version, sizeof(track->earlier[0]));
-    track->n_earlier =
-        MIN(track->n_earlier + 1, (size_t)PGW_VERSION_PARTS - 1);
+    track->n_earlier = MIN(track->n_earlier + 1, (size_t)PGW_VERSIONS_MAX - 1);
 }
 
 void
-pgw_version_track_declare(struct pgw_version_track *track, const char *version)
+pgw_version_track_set_target(struct pgw_version_track *track,
+                             const char *version)
 {
     if (strcmp(track->declared, version) != 0) {
         add_earlier(track, track->declared);
@@ -74,7 +74,7 @@
 {
     struct pgw_version_part *part;
 
-    if (split->n == PGW_VERSION_PARTS) {
+    if (split->n == PGW_VERSIONS_MAX) {
         return NULL;
     }
     part = &split->parts[split->n++];
@@ -140,7 +140,7 @@
     if (was_tried(tried, version)) {
         return true;
     }
-    if (tried->n == PGW_VERSION_PARTS) {
+    if (tried->n == PGW_VERSIONS_MAX) {
         return false;
     }
     g_strlcpy(tried->names[tried->n], version, sizeof(tried->names[0]));
--- a/tests/property/prop_admit.cc
+++ b/tests/property/prop_admit.cc
@@ -49,7 +49,7 @@
         options.max_running = *rc::gen::inRange<uint32_t>(1, 12);
         options.reserved = *rc::gen::inRange<uint32_t>(0, 4);
         options.max_waiting = 64;
-        options.starve_us = *rc::gen::inRange<uint64_t>(100000, 2000000);
+        options.starvation_us = *rc::gen::inRange<uint64_t>(100000, 2000000);
         admit = pgw_admit_new(&options);
     }
 
@@ -69,7 +69,7 @@
             if (other->item.priority < item.priority &&
                 (other->item.deadline == 0 || other->item.deadline > now)) {
                 RC_ASSERT(now >= last_start[item.priority] +
-                                     options.starve_us);
+                                     options.starvation_us);
             }
         }
         last_start[item.priority] = now;
@@ -185,7 +185,7 @@
         else if (kind == 9 && !gate.requests.empty()) {
             size_t i = *rc::gen::inRange<size_t>(0, gate.requests.size());
 
-            pgw_admit_correct(gate.admit,
+            pgw_admit_set_uncached_tokens(gate.admit,
                               &std::next(gate.requests.begin(),
                                          static_cast<long>(i))
                                    ->item,
@@ -229,7 +229,7 @@
         RC_ASSERT(answer.verdict == PGW_ADMIT_RUN);
         now += static_cast<uint64_t>(computed * 1e6 / rate + 20000);
         if (i < 199) {
-            pgw_admit_correct(admit, &item, computed);
+            pgw_admit_set_uncached_tokens(admit, &item, computed);
         }
         pgw_admit_first_token(admit, &item, now);
         pgw_admit_done(admit, &item, 0, now);
@@ -255,7 +255,7 @@
     uint64_t now = 1;
 
     options.max_running = 1;
-    options.starve_us = UINT64_MAX / 2;
+    options.starvation_us = UINT64_MAX / 2;
     pgw_admit *admit = pgw_admit_new(&options);
     pgw_admit_answer answer;
     pgw_admit_item first = {};
@@ -384,7 +384,7 @@
 {
     Gate gate;
     size_t batch = *rc::gen::inRange<size_t>(1, 10);
-    uint64_t limit = batch * (gate.options.starve_us + 200000) + gate.now;
+    uint64_t limit = batch * (gate.options.starvation_us + 200000) + gate.now;
     pgw_admit_item item = {};
 
     auto flood = [&]() {
--- a/tests/property/prop_claim.cc
+++ b/tests/property/prop_claim.cc
@@ -270,7 +270,7 @@
 
             one.handed.erase(ticket);
             if (how == 1) {
-                RC_ASSERT(pgw_claim_lose(one.shard, ticket, now));
+                RC_ASSERT(pgw_claim_mark_lost(one.shard, ticket, now));
             }
             else {
                 RC_ASSERT(pgw_claim_finish(one.shard, ticket, &answer, now));
--- a/tests/property/prop_version.cc
+++ b/tests/property/prop_version.cc
@@ -53,9 +53,9 @@
 {
     pgw_version_track track{};
     auto settled = members({{1, false, true}});
-    pgw_version_track_declare(&track, "w1");
+    pgw_version_track_set_target(&track, "w1");
     pgw_version_track_observe(&track, settled.data(), settled.size());
-    pgw_version_track_declare(&track, "w2");
+    pgw_version_track_set_target(&track, "w2");
     return track;
 }
 
@@ -126,7 +126,7 @@
         engines.push_back({1, false, true});
         const auto track = changing();
         const int samples = 1000;
-        std::vector<int> counts(PGW_VERSION_PARTS);
+        std::vector<int> counts(PGW_VERSIONS_MAX);
         pgw_version_split split{};
         auto all = members(engines);
         pgw_version_split_init(&split, &track, all.data(), all.size());
@@ -156,7 +156,7 @@
             choose(track, late, *rc::gen::arbitrary<uint64_t>(), &split);
         RC_ASSERT(version == "w2");
         RC_ASSERT(split.n == 1u);
-        pgw_version_track_declare(&track, "w3");
+        pgw_version_track_set_target(&track, "w3");
         choose(track, {{2, false, true}}, 0, &split);
         RC_ASSERT(split.parts[1].engines == 1u);
     });
@@ -191,7 +191,7 @@
             RC_ASSERT(!known(next));
             seen.emplace_back(next);
             RC_ASSERT(pgw_version_tried_add(&tried, next));
-            RC_ASSERT(seen.size() <= static_cast<size_t>(PGW_VERSION_PARTS));
+            RC_ASSERT(seen.size() <= static_cast<size_t>(PGW_VERSIONS_MAX));
         }
     });
 }
--- a/tests/unit/test_claim.c
+++ b/tests/unit/test_claim.c
@@ -60,12 +60,12 @@
 test_locate(void)
 {
     struct pgw_claim_layout layout = PGW_CLAIM_LAYOUT_INIT;
-    struct pgw_claim_place place;
+    struct pgw_claim_location place;
     GError *error = NULL;
 
     layout.service = "label.print";
     g_assert_true(pgw_claim_locate(&place, &layout, "parish", KEY, NOW, NULL));
-    g_assert_cmpuint(place.birth_us, ==, NOW);
+    g_assert_cmpuint(place.created_us, ==, NOW);
     g_assert_false(place.expired);
     g_assert_true(g_str_has_suffix(place.name, ".170000000"));
     g_assert_false(pgw_claim_object_is_expired(&layout, place.name, 0, NOW));
@@ -178,9 +178,9 @@
     char name[PGW_CLAIM_NAME_SIZE];
     struct pgw_io io;
 
-    pgw_claim_sweep_used(sweep, "print.2.u", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.u", NOW);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000000", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000000", NOW);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     g_assert_cmpint(io.kind, ==, PGW_IO_READ);
     g_assert_true(pgw_claim_object_is_expired(&layout, name, 0, NOW));
@@ -193,9 +193,10 @@
     g_assert_cmpint(io.kind, ==, PGW_IO_READ);
     pgw_claim_sweep_io_done(sweep, &gone);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000001", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000001", NOW);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000001", NOW + layout.period_us);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000001",
+                             NOW + layout.period_us);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     pgw_claim_sweep_free(sweep);
 }
