--- a/include/parsleygw/attempt.h
+++ b/include/parsleygw/attempt.h
@@ -126,7 +126,7 @@
 
 /**
  * enum pgw_attempt_drop - why an event had no effect
- * @PGW_ATTEMPT_KEPT: it was not dropped
+ * @PGW_ATTEMPT_NOT_DROPPED: it was not dropped
  * @PGW_ATTEMPT_DROP_REQUEST: it names another request
  * @PGW_ATTEMPT_DROP_ATTEMPT: it names an attempt that is not the current one
  * @PGW_ATTEMPT_DROP_FINISHED: the request has ended
@@ -135,7 +135,7 @@
  * @PGW_ATTEMPT_DROP_COUNT: number of reasons
  */
 enum pgw_attempt_drop {
-    PGW_ATTEMPT_KEPT,
+    PGW_ATTEMPT_NOT_DROPPED,
     PGW_ATTEMPT_DROP_REQUEST,
     PGW_ATTEMPT_DROP_ATTEMPT,
     PGW_ATTEMPT_DROP_FINISHED,
--- a/src/entry/account.c
+++ b/src/entry/account.c
@@ -13,7 +13,7 @@
 static struct pgw_metric_counter refused[PGW_REFUSAL_COUNT];
 static char refused_labels[PGW_REFUSAL_COUNT][48];
 static const char *const drop_names[PGW_ATTEMPT_DROP_COUNT] = {
-    [PGW_ATTEMPT_KEPT] = "none",
+    [PGW_ATTEMPT_NOT_DROPPED] = "none",
     [PGW_ATTEMPT_DROP_REQUEST] = "request",
     [PGW_ATTEMPT_DROP_ATTEMPT] = "attempt",
     [PGW_ATTEMPT_DROP_FINISHED] = "finished",
@@ -89,7 +89,7 @@
 void
 account_drop(enum pgw_attempt_drop drop)
 {
-    if (drop != PGW_ATTEMPT_KEPT) {
+    if (drop != PGW_ATTEMPT_NOT_DROPPED) {
         pgw_metric_counter_add(&dropped[drop], 1);
     }
 }
--- a/src/entry/filter_levels.c
+++ b/src/entry/filter_levels.c
@@ -9,7 +9,7 @@
 key_levels(struct exchange_request *request, struct refusal *refusal)
 {
     struct pgw_claim_layout layout = PGW_CLAIM_LAYOUT_INIT;
-    struct pgw_claim_place place = {.name = "repeatable"};
+    struct pgw_claim_location place = {.name = "repeatable"};
     struct pgw_level_salt salt = {
         .workspace = "-",
         .model = request->profile,
--- a/src/entry/forward.c
+++ b/src/entry/forward.c
@@ -380,7 +380,7 @@
         send_cancel(exchange, decision.cancel_attempt);
     }
     if (event->kind == PGW_ATTEMPT_STARTED &&
-        decision.drop == PGW_ATTEMPT_KEPT &&
+        decision.drop == PGW_ATTEMPT_NOT_DROPPED &&
         decision.action == PGW_ATTEMPT_NOTHING) {
         relay_start(exchange, (const Pgw__Started *)message);
     }
--- a/src/libparsleygw/attempt.c
+++ b/src/libparsleygw/attempt.c
@@ -68,7 +68,8 @@
         return PGW_ATTEMPT_DROP_ATTEMPT;
     }
 #endif
-    return attempt->in_flight ? PGW_ATTEMPT_KEPT : PGW_ATTEMPT_DROP_IDLE;
+    return attempt->in_flight ? PGW_ATTEMPT_NOT_DROPPED
+                              : PGW_ATTEMPT_DROP_IDLE;
 }
 
 /* What the whole request may claim about its run only ever gets worse. */
@@ -447,7 +448,7 @@
         break;
     }
     out->drop = check_identity(attempt, event);
-    if (out->drop == PGW_ATTEMPT_KEPT) {
+    if (out->drop == PGW_ATTEMPT_NOT_DROPPED) {
         frame_handlers[event->kind](out, attempt, event, now_us);
     }
 }
--- a/src/libparsleygw/claim.c
+++ b/src/libparsleygw/claim.c
@@ -2,12 +2,10 @@
 
 #include <string.h>
 
-/** Room that a new claim is counted with before its record exists. */
-#define CLAIM_BYTES 256
+/** Size assumed for a new claim until its record exists. */
+#define CLAIM_RESERVE_BYTES 256
 
-/**
- * struct queued_decision - a decision that waits to be taken
- */
+/** struct queued_decision - a decision for pgw_claim_next_decision() */
 struct queued_decision {
     struct pgw_list link;
     struct pgw_claim_decision decision;
@@ -33,7 +31,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, slot_free);
     shard->waiters =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    shard->runners =
+    shard->running_slots =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     shard->base = pgw_claim__object_new();
     shard->expire_us = UINT64_MAX;
@@ -48,15 +46,15 @@
         return;
     }
     pgw_list_foreach_safe (link, &shard->decisions) {
-        struct queued_decision *entry =
+        struct queued_decision *queued =
             pgw_container_of(link, struct queued_decision, link);
 
-        pgw_claim_decision_dispose(&entry->decision);
-        g_free(entry);
+        pgw_claim_decision_dispose(&queued->decision);
+        g_free(queued);
     }
     pgw_claim__object_free(shard->draft);
     pgw_claim__object_free(shard->base);
-    g_hash_table_destroy(shard->runners);
+    g_hash_table_destroy(shard->running_slots);
     g_hash_table_destroy(shard->waiters);
     g_hash_table_destroy(shard->slots);
     g_free(shard);
@@ -80,7 +78,6 @@
     };
 }
 
-/* What a record by itself says to a repeat of its key. */
 struct pgw_claim_decision
 pgw_claim__record_decision(uint64_t ticket,
                            const struct pgw_claim_record *record)
@@ -102,7 +99,8 @@
 }
 
 static void
-count(struct pgw_claim_shard *shard, const struct pgw_claim_decision *decision)
+count_decision(struct pgw_claim_shard *shard,
+               const struct pgw_claim_decision *decision)
 {
     switch (decision->action) {
     case PGW_CLAIM_RUN:
@@ -120,14 +118,14 @@
 }
 
 void
-pgw_claim__queue(struct pgw_claim_shard *shard,
-                 struct pgw_claim_decision decision)
+pgw_claim__queue_decision(struct pgw_claim_shard *shard,
+                          struct pgw_claim_decision decision)
 {
-    struct queued_decision *entry = g_new0(struct queued_decision, 1);
+    struct queued_decision *queued = g_new0(struct queued_decision, 1);
 
-    count(shard, &decision);
-    entry->decision = decision;
-    pgw_list_append(&shard->decisions, &entry->link);
+    count_decision(shard, &decision);
+    queued->decision = decision;
+    pgw_list_append(&shard->decisions, &queued->link);
 }
 
 bool
@@ -135,15 +133,15 @@
                         struct pgw_claim_shard *shard)
 {
     struct pgw_list *link = pgw_list_first(&shard->decisions);
-    struct queued_decision *entry;
+    struct queued_decision *queued;
 
     if (link == NULL) {
         return false;
     }
-    entry = pgw_container_of(link, struct queued_decision, link);
+    queued = pgw_container_of(link, struct queued_decision, link);
     pgw_list_remove(link);
-    *out = entry->decision;
-    g_free(entry);
+    *out = queued->decision;
+    g_free(queued);
     return true;
 }
 
@@ -173,25 +171,24 @@
     waiter->slot = slot;
     waiter->ticket = request->ticket;
     waiter->deadline_us = request->deadline_us;
-    waiter->patience_us = shard->now_us + shard->options.patience_us;
+    waiter->refuse_at_us = shard->now_us + shard->options.decision_timeout_us;
     pgw_list_append(&slot->waiters, &waiter->link);
     g_hash_table_insert(shard->waiters, &waiter->ticket, waiter);
     shard->expire_us =
-        MIN(shard->expire_us, MIN(waiter->deadline_us, waiter->patience_us));
+        MIN(shard->expire_us, MIN(waiter->deadline_us, waiter->refuse_at_us));
 }
 
 void
-pgw_claim__set_runner(struct pgw_claim_shard *shard,
-                      struct pgw_claim_slot *slot, uint64_t ticket)
+pgw_claim__set_running(struct pgw_claim_shard *shard,
+                       struct pgw_claim_slot *slot, uint64_t ticket)
 {
     uint64_t *key = g_memdup2(&ticket, sizeof(ticket));
 
     slot->state = PGW_SLOT_RUNNING;
-    slot->runner = ticket;
-    g_hash_table_replace(shard->runners, key, slot);
+    slot->running_ticket = ticket;
+    g_hash_table_replace(shard->running_slots, key, slot);
 }
 
-/* The claim stands: the first caller that still waits runs. */
 void
 pgw_claim__grant(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
 {
@@ -201,21 +198,21 @@
         .ticket = waiter->ticket,
     };
 
-    pgw_claim__set_runner(shard, slot, waiter->ticket);
+    pgw_claim__set_running(shard, slot, waiter->ticket);
     pgw_claim__waiter_free(shard, waiter);
-    pgw_claim__queue(shard, decision);
+    pgw_claim__queue_decision(shard, decision);
 }
 
 void
-pgw_claim__answer_all(struct pgw_claim_shard *shard,
-                      struct pgw_claim_slot *slot,
-                      const struct pgw_claim_record *record)
+pgw_claim__answer_waiters(struct pgw_claim_shard *shard,
+                          struct pgw_claim_slot *slot,
+                          const struct pgw_claim_record *record)
 {
     struct pgw_claim_waiter *waiter;
 
     while ((waiter = pgw_claim__first_waiter(slot)) != NULL) {
-        pgw_claim__queue(shard,
-                         pgw_claim__record_decision(waiter->ticket, record));
+        pgw_claim__queue_decision(
+            shard, pgw_claim__record_decision(waiter->ticket, record));
         pgw_claim__waiter_free(shard, waiter);
     }
 }
@@ -227,17 +224,17 @@
     struct pgw_claim_slot *slot = g_new0(struct pgw_claim_slot, 1);
 
     slot->name = g_strdup(name);
-    slot->birth_us = pgw_claim_key_birth(request->key);
+    slot->created_us = pgw_claim_key_created_us(request->key);
     pgw_list_init(&slot->waiters);
     g_hash_table_insert(shard->slots, slot->name, slot);
     return slot;
 }
 
-/* A fresh nonce for each time of asking: an old write that removes the claim
- * of an earlier one may still be under way. */
+/* Each claim needs a new nonce: a write that removes an earlier claim of the
+ * key may still be in flight. */
 static void
-slot_ask(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-         const struct pgw_claim_request *request)
+slot_start_claim(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+                 const struct pgw_claim_request *request)
 {
     char *end = slot->nonce;
 
@@ -245,7 +242,7 @@
         end += g_snprintf(end, 3, "%02x", request->request.bytes[i]);
     }
     g_snprintf(end, 12, ".%u", request->attempt);
-    slot->state = PGW_SLOT_ASKING;
+    slot->state = PGW_SLOT_CLAIMING;
     slot->claimed_us = shard->now_us;
     slot->dirty = true;
     waiter_add(shard, slot, request);
@@ -256,34 +253,37 @@
 {
     size_t slots = g_hash_table_size(shard->slots);
 
-    /* A quarter of the object is left for the answers of what runs. */
+    /* A quarter of the object is reserved for the answers of running calls. */
     return slots >= shard->options.slots_max ||
-           shard->base->bytes + slots * CLAIM_BYTES >
+           shard->base->bytes + slots * CLAIM_RESERVE_BYTES >
                shard->options.object_max / 4 * 3;
 }
 
 /**
- * ask() - ask the store for a key that is not known to be taken
- * @slot: the key's slot, NULL: it has none yet
- * @inquiry: another process seems to have taken it, as last seen
+ * request_claim() - claim a key that this process has no outcome of
+ * @slot: the key's slot, NULL: none yet
+ * @needs_recheck: the last known value has a record or window of another
+ *                 process for the key
  */
 static struct pgw_claim_decision
-ask(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-    const char *name, const struct pgw_claim_request *request, bool inquiry)
+request_claim(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+              const char *name, const struct pgw_claim_request *request,
+              bool needs_recheck)
 {
     struct pgw_claim_decision decision = {
         .action = PGW_CLAIM_PENDING,
         .ticket = request->ticket,
     };
-    bool waits = shard->down && shard->now_us < shard->retry_us;
-    bool mine = !inquiry && pgw_claim__window_is_mine(
-                                shard, pgw_claim_key_birth(request->key));
-
-    if (waits && !mine) {
-        decision = pgw_claim__refusal(request->ticket,
-                                      inquiry ? PGW_REFUSAL_DUPLICATE
-                                              : PGW_REFUSAL_STORE_DOWN,
-                                      inquiry ? PGW_RAN_UNKNOWN : PGW_RAN_NO);
+    bool store_is_down = shard->down && shard->now_us < shard->retry_us;
+    bool window_is_own =
+        !needs_recheck && pgw_claim__window_is_own(
+                              shard, pgw_claim_key_created_us(request->key));
+
+    if (store_is_down && !window_is_own) {
+        decision = pgw_claim__refusal(
+            request->ticket,
+            needs_recheck ? PGW_REFUSAL_DUPLICATE : PGW_REFUSAL_STORE_DOWN,
+            needs_recheck ? PGW_RAN_UNKNOWN : PGW_RAN_NO);
         decision.retry_after_ms =
             (uint32_t)((shard->retry_us - shard->now_us) / 1000 + 1);
         return decision;
@@ -291,21 +291,21 @@
     if (slot == NULL) {
         slot = slot_add(shard, name, request);
     }
-    slot_ask(shard, slot, request);
-    slot->inquiry = inquiry;
-    slot->dirty = !inquiry;
-    shard->read_wanted = shard->read_wanted || inquiry;
-    if (waits) {
+    slot_start_claim(shard, slot, request);
+    slot->needs_recheck = needs_recheck;
+    slot->dirty = !needs_recheck;
+    shard->read_required = shard->read_required || needs_recheck;
+    if (store_is_down) {
         pgw_claim__waiter_free(shard, pgw_claim__first_waiter(slot));
-        pgw_claim__set_runner(shard, slot, request->ticket);
+        pgw_claim__set_running(shard, slot, request->ticket);
         decision.action = PGW_CLAIM_RUN;
     }
     return decision;
 }
 
 static struct pgw_claim_decision
-begin_known(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-            const struct pgw_claim_request *request)
+begin_in_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+              const struct pgw_claim_request *request)
 {
     struct pgw_claim_decision pending = {
         .action = PGW_CLAIM_PENDING,
@@ -321,7 +321,7 @@
             return pgw_claim__refusal(request->ticket, PGW_REFUSAL_LEAVING,
                                       PGW_RAN_NO);
         }
-        return ask(shard, slot, NULL, request, false);
+        return request_claim(shard, slot, NULL, request, false);
     default:
         waiter_add(shard, slot, request);
         return pending;
@@ -331,7 +331,7 @@
 static struct pgw_claim_decision
 begin(struct pgw_claim_shard *shard, const struct pgw_claim_request *request)
 {
-    uint64_t birth_us = pgw_claim_key_birth(request->key);
+    uint64_t created_us = pgw_claim_key_created_us(request->key);
     uint64_t ticket = request->ticket;
     struct pgw_claim_record *record;
     struct pgw_claim_decision decision;
@@ -340,12 +340,12 @@
 
 #ifndef PGW_DISABLE_CLAIM_EXPIRED
     /*
-     * Failure: a key is repeated after its record was deleted. Symptom: the
-     * absent record looks like a key never used, and it runs again. The key
-     * itself says when it was born, so it is refused without a record.
+     * Failure: a key is sent again after its record was deleted. Symptom: the
+     * missing record looks like an unused key, and the call runs again. The
+     * key contains its creation time, so it is refused without a record.
      */
-    if (birth_us != 0 &&
-        birth_us + shard->options.retention_us < shard->now_us) {
+    if (created_us != 0 &&
+        created_us + shard->options.retention_us < shard->now_us) {
         return pgw_claim__refusal(ticket, PGW_REFUSAL_EXPIRED,
                                   PGW_RAN_UNKNOWN);
     }
@@ -353,7 +353,7 @@
     g_snprintf(name, sizeof(name), "%s %s", request->workspace, request->key);
     slot = g_hash_table_lookup(shard->slots, name);
     if (slot != NULL) {
-        return begin_known(shard, slot, request);
+        return begin_in_slot(shard, slot, request);
     }
     record = pgw_claim__object_get(shard->base, name);
     if (record != NULL && record->state != PGW_CLAIM_CLAIMED) {
@@ -368,10 +368,11 @@
                 : PGW_RAN_NO);
         return decision;
     }
-    return ask(
+    return request_claim(
         shard, NULL, name, request,
         (record != NULL && !pgw_claim__is_own(shard, record)) ||
-            (record == NULL && pgw_claim__window_is_foreign(shard, birth_us)));
+            (record == NULL &&
+             pgw_claim__window_is_foreign(shard, created_us)));
 }
 
 void
@@ -380,18 +381,20 @@
 {
     shard->now_us = MAX(shard->now_us, now_us);
     *out = begin(shard, request);
-    count(shard, out);
+    count_decision(shard, out);
 }
 
 static struct pgw_claim_slot *
-take_runner(struct pgw_claim_shard *shard, uint64_t ticket, uint64_t now_us)
+take_running_slot(struct pgw_claim_shard *shard, uint64_t ticket,
+                  uint64_t now_us)
 {
-    struct pgw_claim_slot *slot = g_hash_table_lookup(shard->runners, &ticket);
+    struct pgw_claim_slot *slot =
+        g_hash_table_lookup(shard->running_slots, &ticket);
 
     shard->now_us = MAX(shard->now_us, now_us);
     if (slot != NULL) {
-        g_hash_table_remove(shard->runners, &ticket);
-        slot->runner = 0;
+        g_hash_table_remove(shard->running_slots, &ticket);
+        slot->running_ticket = 0;
         slot->ended_us = shard->now_us;
     }
     return slot;
@@ -407,28 +410,28 @@
         pgw_claim__record_new(recorded, slot->name, shard->options.owner,
                               slot->nonce, slot->claimed_us, answer);
     slot->dirty = true;
-    pgw_claim__answer_all(shard, slot, slot->record);
+    pgw_claim__answer_waiters(shard, slot, slot->record);
 }
 
 bool
 pgw_claim_finish(struct pgw_claim_shard *shard, uint64_t ticket,
                  const struct pgw_claim_answer *answer, uint64_t now_us)
 {
-    struct pgw_claim_slot *slot = take_runner(shard, ticket, now_us);
-    struct pgw_claim_answer kept = *answer;
+    struct pgw_claim_slot *slot = take_running_slot(shard, ticket, now_us);
+    struct pgw_claim_answer recorded = *answer;
     GBytes *empty = NULL;
 
     if (slot == NULL) {
         return false;
     }
-    if (kept.body == NULL) {
+    if (recorded.body == NULL) {
         empty = g_bytes_new_static("", 0);
-        kept.body = empty;
+        recorded.body = empty;
     }
-    if (g_bytes_get_size(kept.body) > shard->options.body_max) {
-        kept.body = NULL;
+    if (g_bytes_get_size(recorded.body) > shard->options.body_max) {
+        recorded.body = NULL;
     }
-    end_run(shard, slot, PGW_SLOT_FINISHED, PGW_CLAIM_DONE, &kept);
+    end_run(shard, slot, PGW_SLOT_FINISHED, PGW_CLAIM_DONE, &recorded);
     g_clear_pointer(&empty, g_bytes_unref);
     return true;
 }
@@ -437,7 +440,7 @@
 pgw_claim_release(struct pgw_claim_shard *shard, uint64_t ticket,
                   uint64_t now_us)
 {
-    struct pgw_claim_slot *slot = take_runner(shard, ticket, now_us);
+    struct pgw_claim_slot *slot = take_running_slot(shard, ticket, now_us);
 
     if (slot == NULL) {
         return false;
@@ -452,7 +455,8 @@
 }
 
 bool
-pgw_claim_lose(struct pgw_claim_shard *shard, uint64_t ticket, uint64_t now_us)
+pgw_claim_mark_lost(struct pgw_claim_shard *shard, uint64_t ticket,
+                    uint64_t now_us)
 {
     struct pgw_claim_slot *slot;
 
@@ -460,11 +464,11 @@
     return pgw_claim_release(shard, ticket, now_us);
 #endif
     /*
-     * Failure: the upstream dies while it runs the call. Symptom of freeing
-     * the key: its repeat runs a second time. It is recorded as lost, which
-     * no process ever takes back.
+     * Failure: the upstream crashes while it runs the call. Symptom if the
+     * key is released: a retry runs a second time. The key is recorded as
+     * lost, and no process ever changes that record.
      */
-    slot = take_runner(shard, ticket, now_us);
+    slot = take_running_slot(shard, ticket, now_us);
     if (slot == NULL) {
         return false;
     }
@@ -486,7 +490,7 @@
     }
     slot = waiter->slot;
     pgw_claim__waiter_free(shard, waiter);
-    if (!pgw_claim__keep_abandoned(slot)) {
+    if (!pgw_claim__release_abandoned(slot)) {
         g_hash_table_remove(shard->slots, slot->name);
     }
     return true;
--- a/src/libparsleygw/claim_io.c
+++ b/src/libparsleygw/claim_io.c
@@ -1,22 +1,23 @@
 #include "claim_shard.h"
 
-/** Bytes of an object that are neither entries nor windows, and some room. */
-#define OBJECT_MARGIN 4096
+/** Bytes of an object that are neither records nor windows, with a margin. */
+#define OBJECT_OVERHEAD_BYTES 4096
 
 static void
-draft_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
+add_slot_to_draft(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
 {
     struct pgw_claim_record *record = NULL;
 
     switch (slot->state) {
-    case PGW_SLOT_ASKING:
+    case PGW_SLOT_CLAIMING:
     case PGW_SLOT_RUNNING:
         record = pgw_claim__record_new(PGW_CLAIM_CLAIMED, slot->name,
                                        shard->options.owner, slot->nonce,
                                        slot->claimed_us, NULL);
         break;
     case PGW_SLOT_FINISHED:
-        if (shard->draft->bytes + slot->record->json_length + OBJECT_MARGIN >
+        if (shard->draft->bytes + slot->record->json_length +
+                OBJECT_OVERHEAD_BYTES >
             shard->options.object_max) {
             record = pgw_claim__record_without_body(slot->record);
             break;
@@ -33,24 +34,24 @@
     if (record != NULL) {
         pgw_claim__object_put(shard->draft, record);
     }
-    slot->drafted = true;
-    slot->drafted_at = shard->version;
+    slot->is_drafted = true;
+    slot->drafted_version = shard->version;
 }
 
-/* A token bucket: a quiet time saves up some writes, never more. */
+/* Token bucket: an idle period allows up to write_burst writes at once. */
 static void
-pace(struct pgw_claim_shard *shard)
+schedule_next_write(struct pgw_claim_shard *shard)
 {
-    uint64_t interval = shard->options.write_interval_us;
-    uint64_t saved = interval * shard->options.write_burst;
+    uint64_t interval_us = shard->options.write_interval_us;
+    uint64_t burst_us = interval_us * shard->options.write_burst;
 
-    shard->next_write_us =
-        MAX(shard->next_write_us, shard->now_us - MIN(shard->now_us, saved)) +
-        interval;
+    shard->next_write_us = MAX(shard->next_write_us,
+                               shard->now_us - MIN(shard->now_us, burst_us)) +
+                           interval_us;
 }
 
 static void
-take_write(struct pgw_io *out, struct pgw_claim_shard *shard)
+build_write(struct pgw_io *out, struct pgw_claim_shard *shard)
 {
     uint64_t retention = shard->options.retention_us;
     GHashTableIter iter;
@@ -64,58 +65,59 @@
         struct pgw_claim_slot *slot = value;
 
         if (slot->dirty) {
-            draft_slot(shard, slot);
+            add_slot_to_draft(shard, slot);
         }
     }
     pgw_claim__window_draft(shard, shard->draft);
     out->kind = PGW_IO_WRITE;
     out->expected_version = shard->version;
     out->value = pgw_claim__object_print(shard->draft, &out->length);
-    pace(shard);
+    schedule_next_write(shard);
     shard->stats.writes++;
 }
 
 /*
- * When a slot wants the store, UINT64_MAX: not. A caller waits for its claim;
- * nobody waits for the record of an outcome, so it shares a later write.
+ * When a slot needs a store operation, UINT64_MAX: never. A caller waits for
+ * its claim. No caller waits for the record of an outcome, so the record is
+ * delayed to share a later write.
  */
 static uint64_t
-slot_due(const struct pgw_claim_shard *shard,
-         const struct pgw_claim_slot *slot)
+slot_due_us(const struct pgw_claim_shard *shard,
+            const struct pgw_claim_slot *slot)
 {
-    if (!slot->dirty && !slot->inquiry) {
+    if (!slot->dirty && !slot->needs_recheck) {
         return UINT64_MAX;
     }
-    if (slot->state == PGW_SLOT_ASKING || shard->closing) {
+    if (slot->state == PGW_SLOT_CLAIMING || shard->closing) {
         return 0;
     }
-    return slot->ended_us + shard->options.lazy_us;
+    return slot->ended_us + shard->options.outcome_delay_us;
 }
 
 static uint64_t
-work_due(const struct pgw_claim_shard *shard)
+work_due_us(const struct pgw_claim_shard *shard)
 {
-    uint64_t due = pgw_claim__window_is_due(shard) ? 0 : UINT64_MAX;
+    uint64_t due_us = pgw_claim__window_is_due(shard) ? 0 : UINT64_MAX;
     GHashTableIter iter;
     gpointer slot;
 
     g_hash_table_iter_init(&iter, shard->slots);
-    while (due > 0 && g_hash_table_iter_next(&iter, NULL, &slot)) {
-        due = MIN(due, slot_due(shard, slot));
+    while (due_us > 0 && g_hash_table_iter_next(&iter, NULL, &slot)) {
+        due_us = MIN(due_us, slot_due_us(shard, slot));
     }
-    return due;
+    return due_us;
 }
 
 static uint64_t
-due_time(const struct pgw_claim_shard *shard)
+io_due_us(const struct pgw_claim_shard *shard)
 {
-    uint64_t due;
+    uint64_t due_us;
 
     if (shard->outstanding != PGW_IO_NONE) {
         return UINT64_MAX;
     }
-    due = MAX(work_due(shard), shard->retry_us);
-    return shard->read_wanted ? due : MAX(due, shard->next_write_us);
+    due_us = MAX(work_due_us(shard), shard->retry_us);
+    return shard->read_required ? due_us : MAX(due_us, shard->next_write_us);
 }
 
 bool
@@ -125,15 +127,15 @@
     *out = (struct pgw_io){.kind = PGW_IO_NONE};
     shard->now_us = MAX(shard->now_us, now_us);
     pgw_claim__expire(shard);
-    if (shard->now_us < due_time(shard)) {
+    if (shard->now_us < io_due_us(shard)) {
         return false;
     }
-    if (shard->read_wanted) {
+    if (shard->read_required) {
         out->kind = PGW_IO_READ;
         shard->stats.reads++;
     }
     else {
-        take_write(out, shard);
+        build_write(out, shard);
     }
     shard->outstanding = out->kind;
     return true;
@@ -142,38 +144,39 @@
 uint64_t
 pgw_claim_next_time(const struct pgw_claim_shard *shard)
 {
-    uint64_t due = due_time(shard);
+    uint64_t due_us = io_due_us(shard);
 
-    if (shard->options.window_us > 0 && due == UINT64_MAX &&
+    if (shard->options.window_us > 0 && due_us == UINT64_MAX &&
         shard->outstanding == PGW_IO_NONE && !shard->closing) {
         const struct pgw_claim_window *window =
             pgw_claim__object_window(shard->base, shard->options.owner);
 
-        due = window != NULL ? window->to_us - shard->options.window_us / 2
-                             : shard->now_us;
+        due_us = window != NULL ? window->to_us - shard->options.window_us / 2
+                                : shard->now_us;
     }
-    return MIN(due, shard->expire_us);
+    return MIN(due_us, shard->expire_us);
 }
 
 static void
-back_off(struct pgw_claim_shard *shard)
+delay_retry(struct pgw_claim_shard *shard)
 {
-    uint64_t wait = shard->options.backoff_us << MIN(shard->failures, 16);
+    uint64_t wait_us = shard->options.backoff_us << MIN(shard->failures, 16);
 
     shard->failures++;
-    shard->retry_us = shard->now_us + MIN(wait, shard->options.backoff_max_us);
+    shard->retry_us =
+        shard->now_us + MIN(wait_us, shard->options.backoff_max_us);
 }
 
 static void
-store_failed(struct pgw_claim_shard *shard)
+mark_store_down(struct pgw_claim_shard *shard)
 {
     shard->down = true;
-    back_off(shard);
-    pgw_claim__store_failed(shard);
+    delay_retry(shard);
+    pgw_claim__handle_store_failure(shard);
 }
 
 static void
-store_answered(struct pgw_claim_shard *shard)
+mark_store_up(struct pgw_claim_shard *shard)
 {
     shard->down = false;
     shard->failures = 0;
@@ -184,28 +187,28 @@
 replace_base(struct pgw_claim_shard *shard, struct pgw_claim_object *object,
              uint64_t version)
 {
-    store_answered(shard);
+    mark_store_up(shard);
     pgw_claim__object_free(shard->base);
     shard->base = object;
     shard->version = version;
-    pgw_claim__settle(shard);
+    pgw_claim__reconcile(shard);
 }
 
 static void
-adopt(struct pgw_claim_shard *shard, const struct pgw_io_reply *reply)
+adopt_value(struct pgw_claim_shard *shard, const struct pgw_io_reply *reply)
 {
     struct pgw_claim_object *object = NULL;
 
-    /* The store may answer with an older version than it gave before. */
+    /* The store may return an older version than in an earlier reply. */
     if (reply->version >= shard->version) {
         object = pgw_claim__object_parse(reply->value, reply->length, NULL);
     }
     if (object == NULL) {
-        shard->read_wanted = true;
-        store_failed(shard);
+        shard->read_required = true;
+        mark_store_down(shard);
         return;
     }
-    shard->read_wanted = false;
+    shard->read_required = false;
     replace_base(shard, object, reply->version);
 }
 
@@ -229,19 +232,20 @@
         break;
 #endif
         /*
-         * Failure: two processes write the same shard, one of them paused
-         * long ago. Symptom without the version check: both run the same key.
-         * The loser takes over the winner's value and decides all anew.
+         * Failure: two processes write the same shard, one of them resumed
+         * after a long pause. Symptom without the version check: both run the
+         * same key. The process whose write is rejected adopts the stored
+         * value and decides all its keys again.
          */
         if (reply->value != NULL) {
-            adopt(shard, reply);
+            adopt_value(shard, reply);
             break;
         }
-        store_answered(shard);
-        shard->read_wanted = true;
+        mark_store_up(shard);
+        shard->read_required = true;
         break;
     case PGW_IO_THROTTLED:
-        back_off(shard);
+        delay_retry(shard);
         break;
     case PGW_IO_UNKNOWN:
         shard->stats.unknown++;
@@ -250,19 +254,20 @@
         break;
 #endif
         /*
-         * Failure: the store's answer is lost. Symptom of guessing: "done"
-         * runs a key that another process won, "not done" refuses one that is
-         * claimed. The value read back names the attempts that stand in it.
+         * Failure: the store's reply is lost. Symptom of a guess: assuming
+         * success runs a key that another process claimed, assuming failure
+         * refuses a key that is claimed here. The value is read back; the
+         * nonces in it identify the claims that succeeded.
          */
-        shard->read_wanted = true;
+        shard->read_required = true;
         if (shard->failures > 0) {
-            back_off(shard);
+            delay_retry(shard);
         }
         shard->failures++;
         break;
     case PGW_IO_MISSING:
     case PGW_IO_UNAVAILABLE:
-        store_failed(shard);
+        mark_store_down(shard);
         break;
     }
 }
@@ -271,18 +276,18 @@
 read_done(struct pgw_claim_shard *shard, const struct pgw_io_reply *reply)
 {
     if (reply->result == PGW_IO_OK) {
-        adopt(shard, reply);
+        adopt_value(shard, reply);
     }
     else if (reply->result == PGW_IO_MISSING && shard->version == 0) {
-        store_answered(shard);
-        shard->read_wanted = false;
-        pgw_claim__settle(shard);
+        mark_store_up(shard);
+        shard->read_required = false;
+        pgw_claim__reconcile(shard);
     }
     else if (reply->result == PGW_IO_THROTTLED) {
-        back_off(shard);
+        delay_retry(shard);
     }
     else {
-        store_failed(shard);
+        mark_store_down(shard);
     }
 }
 
@@ -310,7 +315,7 @@
 }
 
 bool
-pgw_claim_shard_is_settled(const struct pgw_claim_shard *shard)
+pgw_claim_shard_is_drained(const struct pgw_claim_shard *shard)
 {
     return g_hash_table_size(shard->slots) == 0 &&
            shard->outstanding == PGW_IO_NONE &&
--- a/src/libparsleygw/claim_key.c
+++ b/src/libparsleygw/claim_key.c
@@ -6,14 +6,15 @@
 
 #define WORKSPACE_MAX 63
 #define SERVICE_MAX 63
-/** Characters of a UUIDv7 that hold its birth time, the dash included. */
-#define TIME_DIGITS 13
-/** Last part of the name of objects whose keys carry no birth time. */
-#define UNDATED "u"
+/** Characters of a UUIDv7 that hold its timestamp, including the dash. */
+#define TIMESTAMP_LENGTH 13
+/** Last part of the name of objects whose keys carry no timestamp. */
+#define NO_TIMESTAMP "u"
 
-/* Such text needs no escaping in JSON and no space can forge a separator. */
+/* Such text needs no JSON escape, and has no space that could be taken for the
+ * separator between workspace and key. */
 static bool
-is_plain(const char *text, size_t max)
+is_printable_token(const char *text, size_t max)
 {
     size_t length = text != NULL ? strlen(text) : 0;
 
@@ -29,22 +30,22 @@
 }
 
 uint64_t
-pgw_claim_key_birth(const char *key)
+pgw_claim_key_created_us(const char *key)
 {
-    static const char form[] = "xxxxxxxx-xxxx-7xxx-xxxx-xxxxxxxxxxxx";
+    static const char uuid_pattern[] = "xxxxxxxx-xxxx-7xxx-xxxx-xxxxxxxxxxxx";
     uint64_t milliseconds = 0;
 
-    if (strlen(key) != sizeof(form) - 1) {
+    if (strlen(key) != sizeof(uuid_pattern) - 1) {
         return 0;
     }
-    for (size_t i = 0; i < sizeof(form) - 1; i++) {
-        bool fits =
-            form[i] == 'x' ? g_ascii_isxdigit(key[i]) : key[i] == form[i];
+    for (size_t i = 0; i < sizeof(uuid_pattern) - 1; i++) {
+        bool matches = uuid_pattern[i] == 'x' ? g_ascii_isxdigit(key[i])
+                                              : key[i] == uuid_pattern[i];
 
-        if (!fits) {
+        if (!matches) {
             return 0;
         }
-        if (i < TIME_DIGITS && form[i] == 'x') {
+        if (i < TIMESTAMP_LENGTH && uuid_pattern[i] == 'x') {
             milliseconds =
                 milliseconds * 16 + (uint64_t)g_ascii_xdigit_value(key[i]);
         }
@@ -53,8 +54,8 @@
 }
 
 static uint32_t
-shard_of(const struct pgw_claim_layout *layout, const char *workspace,
-         const char *key)
+choose_shard(const struct pgw_claim_layout *layout, const char *workspace,
+             const char *key)
 {
     XXH64_hash_t hash = XXH3_64bits(workspace, strlen(workspace) + 1);
 
@@ -63,13 +64,13 @@
 }
 
 bool
-pgw_claim_locate(struct pgw_claim_place *out,
+pgw_claim_locate(struct pgw_claim_location *out,
                  const struct pgw_claim_layout *layout, const char *workspace,
                  const char *key, uint64_t now_us, GError **error)
 {
-    if (!is_plain(workspace, WORKSPACE_MAX) ||
-        !is_plain(layout->service, SERVICE_MAX) ||
-        !is_plain(key, PGW_CLAIM_KEY_MAX)) {
+    if (!is_printable_token(workspace, WORKSPACE_MAX) ||
+        !is_printable_token(layout->service, SERVICE_MAX) ||
+        !is_printable_token(key, PGW_CLAIM_KEY_MAX)) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_INVALID,
                     "idempotency key must be 1 to %d printable ASCII "
                     "characters without space, quote or backslash; send a "
@@ -77,30 +78,31 @@
                     PGW_CLAIM_KEY_MAX);
         return false;
     }
-    out->shard = shard_of(layout, workspace, key);
-    out->birth_us = pgw_claim_key_birth(key);
+    out->shard = choose_shard(layout, workspace, key);
+    out->created_us = pgw_claim_key_created_us(key);
     out->expired = false;
-    if (out->birth_us == 0) {
-        g_snprintf(out->name, sizeof(out->name), "%s.%u." UNDATED,
+    if (out->created_us == 0) {
+        g_snprintf(out->name, sizeof(out->name), "%s.%u." NO_TIMESTAMP,
                    layout->service, out->shard);
         return true;
     }
-    if (out->birth_us > now_us + layout->skew_us) {
+    if (out->created_us > now_us + layout->skew_us) {
         g_set_error(error, PGW_ERROR, PGW_ERROR_INVALID,
-                    "idempotency key was born %" G_GUINT64_FORMAT
+                    "idempotency key was created %" G_GUINT64_FORMAT
                     " s in the future; set the caller's clock",
-                    (out->birth_us - now_us) / G_USEC_PER_SEC);
+                    (out->created_us - now_us) / G_USEC_PER_SEC);
         return false;
     }
     g_snprintf(out->name, sizeof(out->name), "%s.%u.%" G_GUINT64_FORMAT,
-               layout->service, out->shard, out->birth_us / layout->period_us);
-    out->expired = out->birth_us + layout->retention_us < now_us;
+               layout->service, out->shard,
+               out->created_us / layout->period_us);
+    out->expired = out->created_us + layout->retention_us < now_us;
     return true;
 }
 
 bool
 pgw_claim_object_is_expired(const struct pgw_claim_layout *layout,
-                            const char *name, uint64_t slack_us,
+                            const char *name, uint64_t clock_skew_us,
                             uint64_t now_us)
 {
     const char *last = strrchr(name, '.');
@@ -112,6 +114,7 @@
                                     &period, NULL)) {
         return false;
     }
-    return (period + 1) * layout->period_us + layout->retention_us + slack_us <
+    return (period + 1) * layout->period_us + layout->retention_us +
+               clock_skew_us <
            now_us;
 }
--- a/src/libparsleygw/claim_settle.c
+++ b/src/libparsleygw/claim_reconcile.c
@@ -3,23 +3,23 @@
 #include <string.h>
 
 static void
-refuse_all(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-           enum pgw_refusal reason, enum pgw_ran ran)
+refuse_waiters(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+               enum pgw_refusal reason, enum pgw_ran ran)
 {
     struct pgw_claim_waiter *waiter;
 
     while ((waiter = pgw_claim__first_waiter(slot)) != NULL) {
-        pgw_claim__queue(shard,
-                         pgw_claim__refusal(waiter->ticket, reason, ran));
+        pgw_claim__queue_decision(
+            shard, pgw_claim__refusal(waiter->ticket, reason, ran));
         pgw_claim__waiter_free(shard, waiter);
     }
 }
 
 /*
- * This process's own claim that is not in its memory was given up before it
- * ran: every slot that may have run stays in memory until its end stands in
- * the store. Records of any other incarnation, also of an earlier one of the
- * same process, are somebody else's.
+ * A claim of this incarnation that has no slot was abandoned before it ran: a
+ * slot whose call may have run is kept until the store holds its outcome.
+ * Records of any other incarnation, also of an earlier incarnation of the same
+ * process, belong to another owner.
  */
 bool
 pgw_claim__is_own(const struct pgw_claim_shard *shard,
@@ -34,7 +34,7 @@
 }
 
 static bool
-is_this_claim(const struct pgw_claim_shard *shard,
+is_slot_claim(const struct pgw_claim_shard *shard,
               const struct pgw_claim_slot *slot,
               const struct pgw_claim_record *record)
 {
@@ -42,38 +42,38 @@
            strcmp(record->nonce, slot->nonce) == 0;
 }
 
-/* Each settle_* returns false when the slot is no longer needed. */
+/* Each reconcile_* returns false when the slot is no longer needed. */
 static bool
-settle_asking(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-              const struct pgw_claim_record *record)
+reconcile_claiming(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+                   const struct pgw_claim_record *record)
 {
     if (pgw_claim__first_waiter(slot) == NULL) {
         return false;
     }
-    if (is_this_claim(shard, slot, record)) {
+    if (is_slot_claim(shard, slot, record)) {
         slot->dirty = false;
         pgw_claim__grant(shard, slot);
         return true;
     }
     if (record != NULL && !pgw_claim__is_own(shard, record)) {
-        pgw_claim__answer_all(shard, slot, record);
+        pgw_claim__answer_waiters(shard, slot, record);
         return false;
     }
     if (record == NULL &&
-        pgw_claim__window_is_foreign(shard, slot->birth_us)) {
-        refuse_all(shard, slot, PGW_REFUSAL_DUPLICATE, PGW_RAN_UNKNOWN);
+        pgw_claim__window_is_foreign(shard, slot->created_us)) {
+        refuse_waiters(shard, slot, PGW_REFUSAL_DUPLICATE, PGW_RAN_UNKNOWN);
         return false;
     }
-    slot->inquiry = false;
+    slot->needs_recheck = false;
     slot->dirty = true;
     return true;
 }
 
 static bool
-settle_ended(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
-             const struct pgw_claim_record *record)
+reconcile_ended(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot,
+                const struct pgw_claim_record *record)
 {
-    if (is_this_claim(shard, slot, record) &&
+    if (is_slot_claim(shard, slot, record) &&
         record->state != PGW_CLAIM_CLAIMED) {
         return false;
     }
@@ -86,53 +86,53 @@
 }
 
 /*
- * Failure: a claim is given up after its write was lost on the way, and the
- * write reaches the store after the read that did not find it. Symptom: the
- * caller was told "not run, ask again", and is told "duplicate" for good by
- * another process, while this one has forgotten the key. No write that
- * expects a version lands once there is a newer one, so the key is kept until
- * then; the write that frees it makes the newer version.
+ * Failure: a claim is abandoned because its write seemed lost, and the write
+ * reaches the store after the read that did not find it. Symptom: the caller
+ * was refused as not run and retries, but another process refuses the key as a
+ * duplicate permanently, while this process has no slot for it. The store
+ * rejects a write that expects an older version, so the slot is kept until
+ * there is a newer version; the write that releases the key creates it.
  */
 static bool
-may_yet_land(const struct pgw_claim_shard *shard,
-             const struct pgw_claim_slot *slot)
+may_still_be_applied(const struct pgw_claim_shard *shard,
+                     const struct pgw_claim_slot *slot)
 {
 #ifdef PGW_DISABLE_CLAIM_LATE
     (void)shard;
     (void)slot;
     return false;
 #else
-    return slot->drafted && slot->drafted_at == shard->version;
+    return slot->is_drafted && slot->drafted_version == shard->version;
 #endif
 }
 
 static bool
-settle_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
+reconcile_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
 {
     const struct pgw_claim_record *record =
         pgw_claim__object_get(shard->base, slot->name);
 
     switch (slot->state) {
-    case PGW_SLOT_ASKING:
-        return settle_asking(shard, slot, record);
+    case PGW_SLOT_CLAIMING:
+        return reconcile_claiming(shard, slot, record);
     case PGW_SLOT_RUNNING:
-        slot->dirty = !is_this_claim(shard, slot, record);
+        slot->dirty = !is_slot_claim(shard, slot, record);
         if (record != NULL && !pgw_claim__is_own(shard, record)) {
             shard->stats.faults++;
             slot->dirty = false;
         }
         return true;
     case PGW_SLOT_RELEASED:
-        slot->dirty = may_yet_land(shard, slot) ||
+        slot->dirty = may_still_be_applied(shard, slot) ||
                       (record != NULL && pgw_claim__is_own(shard, record) &&
                        record->owner == shard->options.owner);
         return slot->dirty;
     default:
-        return settle_ended(shard, slot, record);
+        return reconcile_ended(shard, slot, record);
     }
 }
 
-/* Goes over all slots and drops those that are no longer needed. */
+/* Frees the slots for which @keep returns false. */
 static void
 filter_slots(struct pgw_claim_shard *shard,
              bool (*keep)(struct pgw_claim_shard *shard,
@@ -150,27 +150,27 @@
 }
 
 void
-pgw_claim__settle(struct pgw_claim_shard *shard)
+pgw_claim__reconcile(struct pgw_claim_shard *shard)
 {
-    filter_slots(shard, settle_slot);
+    filter_slots(shard, reconcile_slot);
 }
 
-/* A pending call gives up: the claim may be on its way into the store. */
+/* The write of the abandoned claim may be in flight. */
 bool
-pgw_claim__keep_abandoned(struct pgw_claim_slot *slot)
+pgw_claim__release_abandoned(struct pgw_claim_slot *slot)
 {
     if (pgw_claim__first_waiter(slot) != NULL ||
-        slot->state != PGW_SLOT_ASKING) {
+        slot->state != PGW_SLOT_CLAIMING) {
         return true;
     }
     slot->state = PGW_SLOT_RELEASED;
-    slot->dirty = slot->drafted;
-    return slot->drafted;
+    slot->dirty = slot->is_drafted;
+    return slot->is_drafted;
 }
 
 /*
- * What may be said of a key that the store has not answered for. The record
- * or window seen last may be old, but a key once taken is never free again.
+ * Whether the call of an undecided key may have run. The last known record or
+ * window may be outdated, but a claimed key never becomes free again.
  */
 static enum pgw_ran
 pending_ran(const struct pgw_claim_shard *shard,
@@ -179,7 +179,7 @@
     const struct pgw_claim_record *record =
         pgw_claim__object_get(shard->base, slot->name);
 
-    return slot->inquiry ||
+    return slot->needs_recheck ||
                    (record != NULL && !pgw_claim__is_own(shard, record))
                ? PGW_RAN_UNKNOWN
                : PGW_RAN_NO;
@@ -202,7 +202,7 @@
         decision.retry_after_ms =
             (uint32_t)(shard->options.backoff_max_us / 1000);
     }
-    pgw_claim__queue(shard, decision);
+    pgw_claim__queue_decision(shard, decision);
     pgw_claim__waiter_free(shard, waiter);
 }
 
@@ -214,13 +214,13 @@
         pgw_claim__object_get(shard->base, slot->name);
 
     return (record == NULL || pgw_claim__is_own(shard, record)) &&
-           pgw_claim__window_is_mine(shard, slot->birth_us);
+           pgw_claim__window_is_own(shard, slot->created_us);
 }
 
 static bool
 fail_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
 {
-    if (slot->state != PGW_SLOT_ASKING) {
+    if (slot->state != PGW_SLOT_CLAIMING) {
         return true;
     }
     if (pgw_claim__first_waiter(slot) != NULL &&
@@ -233,16 +233,16 @@
         refuse_pending(shard, slot, pgw_claim__first_waiter(slot),
                        PGW_REFUSAL_STORE_DOWN);
     }
-    return pgw_claim__keep_abandoned(slot);
+    return pgw_claim__release_abandoned(slot);
 }
 
 void
-pgw_claim__store_failed(struct pgw_claim_shard *shard)
+pgw_claim__handle_store_failure(struct pgw_claim_shard *shard)
 {
     filter_slots(shard, fail_slot);
 }
 
-/* Runs at most twice over one slot: once more after a grant. */
+/* Recurses at most once for a slot, after a grant. */
 static bool
 expire_slot(struct pgw_claim_shard *shard, struct pgw_claim_slot *slot)
 {
@@ -250,12 +250,12 @@
         struct pgw_claim_waiter *waiter =
             pgw_container_of(link, struct pgw_claim_waiter, link);
         bool late = shard->now_us >= waiter->deadline_us;
-        bool asking = slot->state == PGW_SLOT_ASKING;
+        bool asking = slot->state == PGW_SLOT_CLAIMING;
 
         if (late) {
             refuse_pending(shard, slot, waiter, PGW_REFUSAL_DEADLINE);
         }
-        else if (asking && shard->now_us >= waiter->patience_us) {
+        else if (asking && shard->now_us >= waiter->refuse_at_us) {
             if (may_run_from_memory(shard, slot)) {
                 slot->dirty = true;
                 pgw_claim__grant(shard, slot);
@@ -266,11 +266,11 @@
         else {
             shard->expire_us =
                 MIN(shard->expire_us,
-                    asking ? MIN(waiter->deadline_us, waiter->patience_us)
+                    asking ? MIN(waiter->deadline_us, waiter->refuse_at_us)
                            : waiter->deadline_us);
         }
     }
-    return pgw_claim__keep_abandoned(slot);
+    return pgw_claim__release_abandoned(slot);
 }
 
 void
--- a/src/libparsleygw/claim_record.c
+++ b/src/libparsleygw/claim_record.c
@@ -5,8 +5,8 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-#define FORMAT 1
-#define OCTETS "application/octet-stream"
+#define FORMAT_VERSION 1
+#define DEFAULT_CONTENT_TYPE "application/octet-stream"
 
 static void
 append_quoted(GString *json, const char *text)
@@ -86,8 +86,8 @@
         const char *type = answer->content_type;
 
         record->status = answer->status;
-        record->content_type =
-            g_strdup(type != NULL && is_printable(type) ? type : OCTETS);
+        record->content_type = g_strdup(
+            type != NULL && is_printable(type) ? type : DEFAULT_CONTENT_TYPE);
         record->body = answer->body != NULL ? g_bytes_ref(answer->body) : NULL;
     }
     record_print(record);
@@ -242,7 +242,7 @@
     gpointer value;
     const char *separator = "";
 
-    g_string_append_printf(json, "{\"v\":%d,\"w\":[", FORMAT);
+    g_string_append_printf(json, "{\"v\":%d,\"w\":[", FORMAT_VERSION);
     for (guint i = 0; i < object->windows->len; i++) {
         const struct pgw_claim_window *window =
             &g_array_index(object->windows, struct pgw_claim_window, i);
@@ -339,7 +339,7 @@
     JsonArray *array;
     uint64_t owner, time_us;
     const char *state, *nonce;
-    bool good = false;
+    bool is_valid = false;
 
     if (!JSON_NODE_HOLDS_ARRAY(node)) {
         return false;
@@ -352,14 +352,14 @@
         !owner_at(&owner, array, 1) || !number_at(&time_us, array, 3)) {
         return false;
     }
-    good = state[0] != PGW_CLAIM_DONE || parse_answer(&answer, array);
-    if (good) {
+    is_valid = state[0] != PGW_CLAIM_DONE || parse_answer(&answer, array);
+    if (is_valid) {
         pgw_claim__object_put(
             object, pgw_claim__record_new((enum pgw_claim_state)state[0], name,
                                           owner, nonce, time_us, &answer));
     }
     g_clear_pointer(&answer.body, g_bytes_unref);
-    return good;
+    return is_valid;
 }
 
 static bool
@@ -390,7 +390,8 @@
     const char *name;
     JsonNode *node;
 
-    if (json_object_get_int_member_with_default(root, "v", 0) != FORMAT ||
+    if (json_object_get_int_member_with_default(root, "v", 0) !=
+            FORMAT_VERSION ||
         windows == NULL || !JSON_NODE_HOLDS_ARRAY(windows) ||
         records == NULL || !JSON_NODE_HOLDS_OBJECT(records)) {
         return false;
--- a/src/libparsleygw/claim_record.h
+++ b/src/libparsleygw/claim_record.h
@@ -12,12 +12,12 @@
  *      "w":[["owner",from_us,to_us], ..],
  *      "c":{"WORKSPACE KEY":["c","owner","nonce",time_us], ..
  *           "WORKSPACE KEY":["u","owner","nonce",time_us], ..
- *           "WORKSPACE
- * KEY":["d","owner","nonce",time_us,status,"type","base64"]}}
+ *           "WORKSPACE KEY":["d","owner","nonce",time_us,
+ *                            status,"type","base64"]}}
  *
- * "c" is claimed, "u" may have run and its answer will never be known, "d" is
- * done; the body of "d" is null when it was too long to keep. Owners are
- * incarnations in hexadecimal digits.
+ * "c" is claimed; "u" may have run, and its answer is lost; "d" is done. The
+ * body of "d" is null when it was too long to store. Owners are incarnations
+ * in hexadecimal digits.
  */
 
 #define PGW_CLAIM_NONCE_SIZE 48
@@ -29,8 +29,8 @@
 };
 
 /**
- * struct pgw_claim_record - one key's entry; never changed once made
- * @json: the entry as it stands in the object, name included
+ * struct pgw_claim_record - one key's record; immutable
+ * @json: the record as stored in the object, including its name
  */
 struct pgw_claim_record {
     int references;
@@ -47,7 +47,8 @@
 };
 
 /**
- * struct pgw_claim_window - span of birth times that one owner alone decides
+ * struct pgw_claim_window - range of creation times whose keys only one
+ * owner may decide
  */
 struct pgw_claim_window {
     uint64_t owner;
@@ -58,8 +59,8 @@
 /**
  * struct pgw_claim_object - an object's value
  * @records: name to &struct pgw_claim_record
- * @windows: of &struct pgw_claim_window
- * @bytes: size of all entries as JSON
+ * @windows: array of &struct pgw_claim_window
+ * @bytes: size of all records as JSON
  */
 struct pgw_claim_object {
     GHashTable *records;
@@ -68,9 +69,9 @@
 };
 
 /**
- * pgw_claim__record_new() - make an entry
- * @state: of the entry
- * @answer: for DONE: the answer, its body NULL when it is not kept
+ * pgw_claim__record_new() - create a record
+ * @state: state of the record
+ * @answer: for DONE: the answer; its body is NULL if it is not stored
  *
  * Return: with one reference.
  */
@@ -79,7 +80,7 @@
                       uint64_t owner, const char *nonce, uint64_t time_us,
                       const struct pgw_claim_answer *answer);
 
-/** pgw_claim__record_without_body() - the same entry with its body left out */
+/** pgw_claim__record_without_body() - copy of a record without its body */
 struct pgw_claim_record *
 pgw_claim__record_without_body(const struct pgw_claim_record *record);
 
@@ -95,13 +96,14 @@
 struct pgw_claim_record *
 pgw_claim__object_get(const struct pgw_claim_object *object, const char *name);
 
-/** pgw_claim__object_put() - add or replace an entry; takes the reference */
+/** pgw_claim__object_put() - add or replace a record; takes the reference */
 void pgw_claim__object_put(struct pgw_claim_object *object,
                            struct pgw_claim_record *record);
 void pgw_claim__object_remove(struct pgw_claim_object *object,
                               const char *name);
 
-/** pgw_claim__object_compact() - drop what was written before @oldest_us */
+/** pgw_claim__object_compact() - remove records and windows older than
+ * @oldest_us */
 void pgw_claim__object_compact(struct pgw_claim_object *object,
                                uint64_t oldest_us);
 
--- a/src/libparsleygw/claim_shard.h
+++ b/src/libparsleygw/claim_shard.h
@@ -5,15 +5,15 @@
 #include "util/list.h"
 
 /**
- * enum pgw_claim_slot_state - what this process does with a key
- * @PGW_SLOT_ASKING: nobody may run it before the store has answered
- * @PGW_SLOT_RUNNING: one call was told to run
+ * enum pgw_claim_slot_state - state of a key in this process
+ * @PGW_SLOT_CLAIMING: the claim awaits the store's result
+ * @PGW_SLOT_RUNNING: one call runs
  * @PGW_SLOT_FINISHED: the answer is known, its record is not written yet
- * @PGW_SLOT_LOST: it may have run; that is not written yet
- * @PGW_SLOT_RELEASED: it was not run, but the store may hold its claim
+ * @PGW_SLOT_LOST: it may have run; this record is not written yet
+ * @PGW_SLOT_RELEASED: it did not run, but the store may hold its claim
  */
 enum pgw_claim_slot_state {
-    PGW_SLOT_ASKING,
+    PGW_SLOT_CLAIMING,
     PGW_SLOT_RUNNING,
     PGW_SLOT_FINISHED,
     PGW_SLOT_LOST,
@@ -21,15 +21,18 @@
 };
 
 /**
- * struct pgw_claim_slot - a key that is undecided or not fully recorded
- * @nonce: names this process's claim of the key
- * @runner: ticket that was told to run, 0: none
+ * struct pgw_claim_slot - a key that is undecided or not yet recorded
+ * @name: workspace and key, separated by a space
+ * @nonce: identifies this process's claim of the key
+ * @running_ticket: ticket of the running call, 0: none
  * @record: for FINISHED and LOST
- * @dirty: the store does not hold the state as known here
+ * @dirty: the stored object does not have this state yet
  * @ended_us: when the run ended
- * @inquiry: another process's record or window was seen: ask the store again
- * @drafted: part of a write that is outstanding or whose answer was lost
- * @drafted_at: the object's version that this write expects
+ * @needs_recheck: a record or window of another process covers the key; read
+ * the object again before deciding
+ * @is_drafted: included in a write that is outstanding or whose result is
+ *              unknown
+ * @drafted_version: object version that this write expects
  */
 struct pgw_claim_slot {
     char *name;
@@ -37,47 +40,50 @@
     char nonce[PGW_CLAIM_NONCE_SIZE];
     uint64_t claimed_us;
     uint64_t ended_us;
-    uint64_t birth_us;
-    uint64_t runner;
+    uint64_t created_us;
+    uint64_t running_ticket;
     struct pgw_claim_record *record;
     struct pgw_list waiters;
     bool dirty;
-    bool inquiry;
-    bool drafted;
-    uint64_t drafted_at;
+    bool needs_recheck;
+    bool is_drafted;
+    uint64_t drafted_version;
 };
 
-/** struct pgw_claim_waiter - a pending call */
+/**
+ * struct pgw_claim_waiter - a pending call
+ * @refuse_at_us: when the call is refused if the key is not decided
+ */
 struct pgw_claim_waiter {
     struct pgw_list link;
     struct pgw_claim_slot *slot;
     uint64_t ticket;
     uint64_t deadline_us;
-    uint64_t patience_us;
+    uint64_t refuse_at_us;
 };
 
 /**
- * struct pgw_claim_shard - machine of one object
+ * struct pgw_claim_shard - claims of one object
  * @slots: name to &struct pgw_claim_slot
  * @waiters: ticket to &struct pgw_claim_waiter
- * @runners: ticket to &struct pgw_claim_slot
- * @base: the value at @version, as last known
+ * @running_slots: ticket to &struct pgw_claim_slot
+ * @base: last known value, at @version
  * @draft: the value of the outstanding write
- * @read_wanted: the store's value must be read before the next write
- * @window_floor_us: start of the newest window that any write asked for
+ * @read_required: the object must be read before the next write
+ * @window_floor_us: latest start of a window in any write issued
  * @down: the last operation failed
  */
 struct pgw_claim_shard {
     struct pgw_claim_options options;
     GHashTable *slots;
     GHashTable *waiters;
-    GHashTable *runners;
+    GHashTable *running_slots;
     struct pgw_list decisions;
     struct pgw_claim_object *base;
     struct pgw_claim_object *draft;
     uint64_t version;
     enum pgw_io_kind outstanding;
-    bool read_wanted;
+    bool read_required;
     bool down;
     bool closing;
     uint32_t failures;
@@ -89,62 +95,74 @@
     struct pgw_claim_stats stats;
 };
 
-/** pgw_claim__refusal() - a decision to refuse */
+/** pgw_claim__refusal() - decision to refuse a call */
 struct pgw_claim_decision
 pgw_claim__refusal(uint64_t ticket, enum pgw_refusal reason, enum pgw_ran ran);
 
-/** pgw_claim__record_decision() - what a record says to a repeat of its key */
+/** pgw_claim__record_decision() - decision for another call with the key of a
+ * record */
 struct pgw_claim_decision
 pgw_claim__record_decision(uint64_t ticket,
                            const struct pgw_claim_record *record);
 
-/** pgw_claim__queue() - let pgw_claim_next_decision() give a decision */
-void pgw_claim__queue(struct pgw_claim_shard *shard,
-                      struct pgw_claim_decision decision);
+/** pgw_claim__queue_decision() - queue a decision for
+ * pgw_claim_next_decision() */
+void pgw_claim__queue_decision(struct pgw_claim_shard *shard,
+                               struct pgw_claim_decision decision);
 
 struct pgw_claim_waiter *pgw_claim__first_waiter(struct pgw_claim_slot *slot);
 void pgw_claim__waiter_free(struct pgw_claim_shard *shard,
                             struct pgw_claim_waiter *waiter);
-void pgw_claim__set_runner(struct pgw_claim_shard *shard,
-                           struct pgw_claim_slot *slot, uint64_t ticket);
+void pgw_claim__set_running(struct pgw_claim_shard *shard,
+                            struct pgw_claim_slot *slot, uint64_t ticket);
 
-/** pgw_claim__grant() - the claim stands: the first that still waits runs */
+/** pgw_claim__grant() - run the first waiting call; the slot's claim is valid
+ */
 void pgw_claim__grant(struct pgw_claim_shard *shard,
                       struct pgw_claim_slot *slot);
 
-/** pgw_claim__answer_all() - tell all that wait what the record says */
-void pgw_claim__answer_all(struct pgw_claim_shard *shard,
-                           struct pgw_claim_slot *slot,
-                           const struct pgw_claim_record *record);
+/** pgw_claim__answer_waiters() - answer all waiting calls from a record */
+void pgw_claim__answer_waiters(struct pgw_claim_shard *shard,
+                               struct pgw_claim_slot *slot,
+                               const struct pgw_claim_record *record);
 
-/** pgw_claim__is_own() - a claim of this very process, so it did not run */
+/** pgw_claim__is_own() - whether a record is a claim of this incarnation,
+ * which did not run */
 bool pgw_claim__is_own(const struct pgw_claim_shard *shard,
                        const struct pgw_claim_record *record);
 
-/** pgw_claim__keep_abandoned() - false: nobody needs the slot any more */
-bool pgw_claim__keep_abandoned(struct pgw_claim_slot *slot);
+/**
+ * pgw_claim__release_abandoned() - release a claim without waiting calls
+ *
+ * Return: false when the slot can be freed.
+ */
+bool pgw_claim__release_abandoned(struct pgw_claim_slot *slot);
 
-/** pgw_claim__settle() - compare all slots with a new @base */
-void pgw_claim__settle(struct pgw_claim_shard *shard);
+/** pgw_claim__reconcile() - update all slots from a new @base */
+void pgw_claim__reconcile(struct pgw_claim_shard *shard);
 
-/** pgw_claim__store_failed() - decide what cannot wait for the store */
-void pgw_claim__store_failed(struct pgw_claim_shard *shard);
+/** pgw_claim__handle_store_failure() - decide the calls that wait for the
+ * store, after it failed */
+void pgw_claim__handle_store_failure(struct pgw_claim_shard *shard);
 
-/** pgw_claim__expire() - refuse calls that waited too long */
+/** pgw_claim__expire() - refuse calls that have waited too long */
 void pgw_claim__expire(struct pgw_claim_shard *shard);
 
-/** pgw_claim__window_is_mine() - may decide a key from memory alone */
-bool pgw_claim__window_is_mine(const struct pgw_claim_shard *shard,
-                               uint64_t birth_us);
+/** pgw_claim__window_is_own() - whether this process may decide a key
+ * without the store */
+bool pgw_claim__window_is_own(const struct pgw_claim_shard *shard,
+                              uint64_t created_us);
 
-/** pgw_claim__window_is_foreign() - only another process may decide a key */
+/** pgw_claim__window_is_foreign() - whether only another process may decide
+ * a key */
 bool pgw_claim__window_is_foreign(const struct pgw_claim_shard *shard,
-                                  uint64_t birth_us);
+                                  uint64_t created_us);
 
-/** pgw_claim__window_is_due() - the own window must be extended or removed */
+/** pgw_claim__window_is_due() - whether this process's window must be
+ * extended or removed */
 bool pgw_claim__window_is_due(const struct pgw_claim_shard *shard);
 
-/** pgw_claim__window_draft() - put the own window into a draft */
+/** pgw_claim__window_draft() - update this process's window in a draft */
 void pgw_claim__window_draft(struct pgw_claim_shard *shard,
                              struct pgw_claim_object *draft);
 
--- a/src/libparsleygw/claim_window.c
+++ b/src/libparsleygw/claim_window.c
@@ -1,45 +1,45 @@
 #include "claim_shard.h"
 
 bool
-pgw_claim__window_is_mine(const struct pgw_claim_shard *shard,
-                          uint64_t birth_us)
+pgw_claim__window_is_own(const struct pgw_claim_shard *shard,
+                         uint64_t created_us)
 {
     const struct pgw_claim_window *window =
         pgw_claim__object_window(shard->base, shard->options.owner);
 
     /*
-     * A write that gives up the window's older part may have taken effect
-     * although its answer is out: only what every asked-for window covers is
-     * certainly still this process's own.
+     * A write that gives up the older part of the window may have succeeded
+     * although its reply is outstanding. Only the range that the windows of
+     * all issued writes cover certainly still belongs to this process.
      */
-    return window != NULL && !shard->closing && birth_us != 0 &&
-           birth_us >= MAX(window->from_us, shard->window_floor_us) &&
-           birth_us <= window->to_us;
+    return window != NULL && !shard->closing && created_us != 0 &&
+           created_us >= MAX(window->from_us, shard->window_floor_us) &&
+           created_us <= window->to_us;
 }
 
 bool
 pgw_claim__window_is_foreign(const struct pgw_claim_shard *shard,
-                             uint64_t birth_us)
+                             uint64_t created_us)
 {
 #ifndef PGW_DISABLE_CLAIM_WINDOW
     /*
-     * Failure: the owner of a window ran keys from memory while the store was
-     * down, and died. Symptom: nothing is recorded, so the next process runs
-     * them again. Nobody but the owner's own incarnation may decide a key of
-     * its window, so an unrecorded one is "unknown" to all others for good.
+     * Failure: the owner of a window ran keys without the store while it was
+     * down, and crashed. Symptom: nothing is recorded, so the next process
+     * runs them again. Only the owner's incarnation may decide a key of its
+     * window; all other processes refuse an unrecorded key as "unknown".
      */
-    for (guint i = 0; birth_us != 0 && i < shard->base->windows->len; i++) {
+    for (guint i = 0; created_us != 0 && i < shard->base->windows->len; i++) {
         const struct pgw_claim_window *window =
             &g_array_index(shard->base->windows, struct pgw_claim_window, i);
 
         if (window->owner != shard->options.owner &&
-            birth_us >= window->from_us && birth_us <= window->to_us) {
+            created_us >= window->from_us && created_us <= window->to_us) {
             return true;
         }
     }
 #else
     (void)shard;
-    (void)birth_us;
+    (void)created_us;
 #endif
     return false;
 }
@@ -60,23 +60,23 @@
            window->to_us < shard->now_us + shard->options.window_us / 2;
 }
 
-/* Two windows must not overlap, or two processes would decide one key. */
+/* If two windows overlapped, two processes could decide the same key. */
 static uint64_t
-first_free(const struct pgw_claim_shard *shard,
-           const struct pgw_claim_object *draft)
+first_free_us(const struct pgw_claim_shard *shard,
+              const struct pgw_claim_object *draft)
 {
-    uint64_t from =
-        shard->now_us - MIN(shard->now_us, shard->options.window_back_us);
+    uint64_t from_us =
+        shard->now_us - MIN(shard->now_us, shard->options.window_lookback_us);
 
     for (guint i = 0; i < draft->windows->len; i++) {
         const struct pgw_claim_window *window =
             &g_array_index(draft->windows, struct pgw_claim_window, i);
 
         if (window->owner != shard->options.owner) {
-            from = MAX(from, window->to_us + 1);
+            from_us = MAX(from_us, window->to_us + 1);
         }
     }
-    return MAX(from, shard->window_floor_us);
+    return MAX(from_us, shard->window_floor_us);
 }
 
 void
@@ -97,7 +97,7 @@
     if (shard->options.window_us == 0 || shard->closing) {
         return;
     }
-    window.from_us = first_free(shard, draft);
+    window.from_us = first_free_us(shard, draft);
     if (window.from_us < window.to_us) {
         shard->window_floor_us = window.from_us;
         g_array_append_val(draft->windows, window);
--- a/src/sidecar/claim_sweep.c
+++ b/src/sidecar/claim_sweep.c
@@ -79,7 +79,7 @@
 void
 claim_sweep_used(struct claim_sweep *sweep, const char *name)
 {
-    pgw_claim_sweep_used(sweep->machine, name, pgw_hlc_wall_us());
+    pgw_claim_sweep_schedule(sweep->machine, name, pgw_hlc_wall_us());
     if (!sweep->busy && sweep->timer.position == 0) {
         schedule(sweep, PACE_US);
     }
--- a/src/sidecar/claims.c
+++ b/src/sidecar/claims.c
@@ -111,7 +111,7 @@
         pgw_timer_start(claims->sidecar->loop, &object->timer,
                         next > now ? next - now : 0);
     }
-    else if (pgw_claim_shard_is_settled(object->shard)) {
+    else if (pgw_claim_shard_is_drained(object->shard)) {
         pgw_timer_start(claims->sidecar->loop, &object->timer, IDLE_US);
         if (now - object->used_us >= IDLE_US) {
             g_hash_table_remove(claims->objects, object->name);
@@ -180,7 +180,7 @@
 claims_ask(struct claims *claims, struct run *run)
 {
     struct pgw_claim_layout layout = PGW_CLAIM_LAYOUT_INIT;
-    struct pgw_claim_place place;
+    struct pgw_claim_location place;
     struct pgw_claim_request request = {
         .workspace = run->open->workspace,
         .key = run->open->idempotency_key,
@@ -263,7 +263,7 @@
         return;
     }
     if (was_sent) {
-        pgw_claim_lose(object->shard, run->ticket, claims_now(claims));
+        pgw_claim_mark_lost(object->shard, run->ticket, claims_now(claims));
     }
     else {
         pgw_claim_release(object->shard, run->ticket, claims_now(claims));
@@ -296,7 +296,7 @@
 
     g_hash_table_iter_init(&iter, claims->objects);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (!pgw_claim_shard_is_settled(
+        if (!pgw_claim_shard_is_drained(
                 ((struct claim_object *)value)->shard)) {
             return false;
         }
--- a/tests/failure/fail_claim_sweep.c
+++ b/tests/failure/fail_claim_sweep.c
@@ -43,10 +43,10 @@
 
 /* A key born then that belongs to the desk's shard. */
 static char *
-make_key(struct desk *desk, uint64_t birth_us)
+make_key(struct desk *desk, uint64_t created_us)
 {
-    struct pgw_claim_place place;
-    guint64 ms = birth_us / 1000;
+    struct pgw_claim_location place;
+    guint64 ms = created_us / 1000;
 
     for (;;) {
         char *key =
@@ -260,7 +260,7 @@
 static void
 test_deleted(void)
 {
-    struct pgw_claim_place place;
+    struct pgw_claim_location place;
     struct desk desk;
     char *key;
     char *gone;
--- a/tests/property/prop_attempt.cc
+++ b/tests/property/prop_attempt.cc
@@ -101,10 +101,10 @@
         g_snprintf(name, sizeof(name), "w%u", version);
         copy.version = name;
         pgw_attempt_step(&out, &state, &copy, now);
-        crashes += out.drop == PGW_ATTEMPT_KEPT &&
+        crashes += out.drop == PGW_ATTEMPT_NOT_DROPPED &&
                    event.kind == PGW_ATTEMPT_FAIL &&
                    event.refusal == PGW_REFUSAL_UPSTREAM_FAILED;
-        if (out.drop != PGW_ATTEMPT_KEPT) {
+        if (out.drop != PGW_ATTEMPT_NOT_DROPPED) {
             RC_ASSERT(out.action == PGW_ATTEMPT_NOTHING);
         }
         switch (out.action) {
--- a/tests/property/prop_claim.cc
+++ b/tests/property/prop_claim.cc
@@ -1,6 +1,6 @@
 // Several processes claim the same keys through one store that delays, loses
-// and refuses, while processes die, pause and come back, and time passes.
-// What the callers see must stay true: one run a key, one answer.
+// and refuses operations, while processes crash, pause and restart and time
+// passes. Each key must run at most once, and all answers must agree.
 #include "parsleygw/claim.h"
 #include "libparsleygw/claim_record.h"
 #include "prop_support.h"
@@ -34,8 +34,8 @@
 struct process {
     pgw_claim_shard *shard = nullptr;
     uint64_t incarnation = 0;
-    std::set<uint64_t> granted; // told to run, not handed over yet
-    std::set<uint64_t> handed;  // at the upstream
+    std::set<uint64_t> granted; // decided as RUN, not sent yet
+    std::set<uint64_t> sent;    // at the upstream
 };
 
 struct call {
@@ -142,7 +142,7 @@
     }
 
     void
-    pump(unsigned i)
+    take_decisions(unsigned i)
     {
         pgw_claim_decision decision;
 
@@ -186,7 +186,7 @@
         }
     }
 
-    // The request reaches the store; its answer is still on the way.
+    // The request reaches the store; its reply is still in flight.
     void
     arrive(operation &one)
     {
@@ -230,12 +230,12 @@
             answer.value = one.reply.c_str();
             answer.length = one.reply.size();
         }
-        one.incarnation = 0; // answered once; it may still arrive
+        one.incarnation = 0; // replied once; the request may still arrive
         pgw_claim_io_done(processes[one.process].shard, &answer, now);
     }
 
     void
-    hand_over(unsigned i)
+    send_granted(unsigned i)
     {
         if (processes[i].granted.empty()) {
             return;
@@ -244,7 +244,7 @@
         call &one = calls.at(ticket);
 
         processes[i].granted.erase(ticket);
-        processes[i].handed.insert(ticket);
+        processes[i].sent.insert(ticket);
         one.ran = true;
         runs[one.key]++;
         RC_ASSERT(runs[one.key] <= 1);
@@ -262,15 +262,15 @@
             one.granted.erase(ticket);
             RC_ASSERT(pgw_claim_release(one.shard, ticket, now));
         }
-        else if (!one.handed.empty()) {
-            uint64_t ticket = *one.handed.begin();
+        else if (!one.sent.empty()) {
+            uint64_t ticket = *one.sent.begin();
             const std::string &text = answers.at(calls.at(ticket).key);
             GBytes *body = g_bytes_new(text.data(), text.size());
             pgw_claim_answer answer = {201, "text/plain; a=\"b\"", body};
 
-            one.handed.erase(ticket);
+            one.sent.erase(ticket);
             if (how == 1) {
-                RC_ASSERT(pgw_claim_lose(one.shard, ticket, now));
+                RC_ASSERT(pgw_claim_mark_lost(one.shard, ticket, now));
             }
             else {
                 RC_ASSERT(pgw_claim_finish(one.shard, ticket, &answer, now));
@@ -279,10 +279,10 @@
         }
     }
 
-    // Retention passes and the object is deleted; keys without a birth time
-    // are not used again after that.
+    // The retention passes and the object is deleted. Keys without a creation
+    // time are not used again after that.
     void
-    forget()
+    expire_keys()
     {
         now += kRetention + 2 * window_us + kSecond;
         operations.clear();
@@ -325,7 +325,7 @@
             }
         }
         else if (what < 50) {
-            hand_over(i);
+            send_granted(i);
         }
         else if (what < 54) {
             end_run(i, choose.pick(4));
@@ -346,10 +346,10 @@
             cancel(i);
         }
         else if (choose.pick(8) == 0) {
-            forget();
+            expire_keys();
         }
         if (choose.pick(4) != 0) {
-            pump(i);
+            take_decisions(i);
         }
     }
 
@@ -359,7 +359,7 @@
         for (auto &[ticket, one] : calls) {
             if (one.process == i && !one.decided &&
                 one.incarnation == processes[i].incarnation) {
-                pump(i);
+                take_decisions(i);
                 if (!one.decided) {
                     RC_ASSERT(pgw_claim_cancel(processes[i].shard, ticket,
                                                now));
@@ -370,10 +370,10 @@
         }
     }
 
-    // The store answers again and everybody finishes: each pending call must
-    // get a decision, and each recorded answer must be replayed whole.
+    // The store recovers and all calls end: each pending call must get a
+    // decision, and each recorded answer must be replayed completely.
     void
-    heal()
+    recover()
     {
         up = true;
         for (int round = 0; round < 60; round++) {
@@ -385,8 +385,8 @@
                     reply(one, false, true);
                 }
                 operations.clear();
-                pump(i);
-                hand_over(i);
+                take_decisions(i);
+                send_granted(i);
                 end_run(i, 2);
             }
         }
@@ -401,13 +401,13 @@
             RC_ASSERT(stats.slots == 0u);
             RC_ASSERT(stats.faults == 0u);
         }
-        given_up_claims_are_free();
+        abandoned_claims_are_released();
     }
 
-    // Nobody runs any more: what a living process gave up before it ran, also
-    // by a write that landed late, no longer stands in the store.
+    // No call runs any more: the store holds no claim that a live process
+    // abandoned before it ran, even if its write was applied late.
     void
-    given_up_claims_are_free()
+    abandoned_claims_are_released()
     {
         pgw_claim_object *last =
             object ? pgw_claim__object_parse(object->c_str(), object->size(),
@@ -437,21 +437,21 @@
 {
     bool good = true;
 
-    good &= rc::check("a key runs at most once, refusals are true", [] {
+    good &= rc::check("a key runs at most once, refusals are correct", [] {
         world one(0);
 
         for (uint32_t number : random_script(400)) {
             one.step(number);
         }
-        one.heal();
+        one.recover();
     });
-    good &= rc::check("the same with windows of birth times", [] {
+    good &= rc::check("the same with windows of creation times", [] {
         world one(20 * kSecond);
 
         for (uint32_t number : random_script(400)) {
             one.step(number);
         }
-        one.heal();
+        one.recover();
     });
     return good ? 0 : 1;
 }
--- a/tests/unit/test_claim.c
+++ b/tests/unit/test_claim.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #define NOW (UINT64_C(1700000000) * G_USEC_PER_SEC)
-/* Born at NOW. */
+/* Created at NOW. */
 #define KEY "018bcfe5-6800-7abc-8def-0123456789ab"
 
 static struct pgw_claim_shard *
@@ -60,31 +60,33 @@
 test_locate(void)
 {
     struct pgw_claim_layout layout = PGW_CLAIM_LAYOUT_INIT;
-    struct pgw_claim_place place;
+    struct pgw_claim_location location;
     GError *error = NULL;
 
     layout.service = "label.print";
-    g_assert_true(pgw_claim_locate(&place, &layout, "parish", KEY, NOW, NULL));
-    g_assert_cmpuint(place.birth_us, ==, NOW);
-    g_assert_false(place.expired);
-    g_assert_true(g_str_has_suffix(place.name, ".170000000"));
-    g_assert_false(pgw_claim_object_is_expired(&layout, place.name, 0, NOW));
-    g_assert_true(pgw_claim_object_is_expired(&layout, place.name, 0,
+    g_assert_true(
+        pgw_claim_locate(&location, &layout, "parish", KEY, NOW, NULL));
+    g_assert_cmpuint(location.created_us, ==, NOW);
+    g_assert_false(location.expired);
+    g_assert_true(g_str_has_suffix(location.name, ".170000000"));
+    g_assert_false(
+        pgw_claim_object_is_expired(&layout, location.name, 0, NOW));
+    g_assert_true(pgw_claim_object_is_expired(&layout, location.name, 0,
                                               NOW + layout.retention_us +
                                                   layout.period_us + 1));
-    g_assert_true(pgw_claim_locate(&place, &layout, "parish", KEY,
+    g_assert_true(pgw_claim_locate(&location, &layout, "parish", KEY,
                                    NOW + layout.retention_us + 1, NULL));
-    g_assert_true(place.expired);
+    g_assert_true(location.expired);
     g_assert_true(
-        pgw_claim_locate(&place, &layout, "parish", "order-7", NOW, NULL));
-    g_assert_false(
-        pgw_claim_object_is_expired(&layout, place.name, 0, G_MAXUINT64 / 2));
-    g_assert_false(pgw_claim_locate(&place, &layout, "parish", KEY,
+        pgw_claim_locate(&location, &layout, "parish", "order-7", NOW, NULL));
+    g_assert_false(pgw_claim_object_is_expired(&layout, location.name, 0,
+                                               G_MAXUINT64 / 2));
+    g_assert_false(pgw_claim_locate(&location, &layout, "parish", KEY,
                                     NOW - 2 * layout.skew_us, &error));
     g_assert_error(error, PGW_ERROR, PGW_ERROR_INVALID);
     g_clear_error(&error);
     g_assert_false(
-        pgw_claim_locate(&place, &layout, "parish", "a b", NOW, NULL));
+        pgw_claim_locate(&location, &layout, "parish", "a b", NOW, NULL));
 }
 
 static void
@@ -105,7 +107,7 @@
 }
 
 static void
-test_window_bridges_an_outage(void)
+test_window_covers_store_outage(void)
 {
     struct pgw_claim_shard *shard = shard_new(60 * G_USEC_PER_SEC);
     struct pgw_claim_decision out;
@@ -139,7 +141,7 @@
     pgw_claim_shard_free(shard);
 }
 
-/* A value that cannot be read must not be overwritten: it may hold keys. */
+/* A malformed value must not be overwritten: it may hold claimed keys. */
 static void
 test_malformed_value(void)
 {
@@ -173,29 +175,30 @@
 {
     struct pgw_claim_layout layout = PGW_CLAIM_LAYOUT_INIT;
     struct pgw_claim_sweep *sweep = pgw_claim_sweep_new(&layout, 0, 1);
-    struct pgw_io_reply there = {.result = PGW_IO_OK, .version = 9};
-    struct pgw_io_reply gone = {.result = PGW_IO_MISSING};
+    struct pgw_io_reply found = {.result = PGW_IO_OK, .version = 9};
+    struct pgw_io_reply missing = {.result = PGW_IO_MISSING};
     char name[PGW_CLAIM_NAME_SIZE];
     struct pgw_io io;
 
-    pgw_claim_sweep_used(sweep, "print.2.u", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.u", NOW);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000000", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000000", NOW);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     g_assert_cmpint(io.kind, ==, PGW_IO_READ);
     g_assert_true(pgw_claim_object_is_expired(&layout, name, 0, NOW));
-    pgw_claim_sweep_io_done(sweep, &there);
+    pgw_claim_sweep_io_done(sweep, &found);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     g_assert_cmpint(io.kind, ==, PGW_IO_DELETE);
     g_assert_cmpuint(io.expected_version, ==, 9);
-    pgw_claim_sweep_io_done(sweep, &there);
+    pgw_claim_sweep_io_done(sweep, &found);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     g_assert_cmpint(io.kind, ==, PGW_IO_READ);
-    pgw_claim_sweep_io_done(sweep, &gone);
+    pgw_claim_sweep_io_done(sweep, &missing);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000001", NOW);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000001", NOW);
     g_assert_false(pgw_claim_sweep_next_io(&io, name, sweep));
-    pgw_claim_sweep_used(sweep, "print.2.170000001", NOW + layout.period_us);
+    pgw_claim_sweep_schedule(sweep, "print.2.170000001",
+                             NOW + layout.period_us);
     g_assert_true(pgw_claim_sweep_next_io(&io, name, sweep));
     pgw_claim_sweep_free(sweep);
 }
@@ -206,7 +209,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/claim/locate", test_locate);
     g_test_add_func("/claim/store-down", test_store_down);
-    g_test_add_func("/claim/window", test_window_bridges_an_outage);
+    g_test_add_func("/claim/window", test_window_covers_store_outage);
     g_test_add_func("/claim/large-answer", test_large_answer);
     g_test_add_func("/claim/malformed-value", test_malformed_value);
     g_test_add_func("/claim/sweep", test_sweep);
