--- a/include/parsleygw/claim.h
+++ b/include/parsleygw/claim.h
@@ -165,7 +165,7 @@
  *                     store's write budget that this shard may use
  * @write_burst: writes allowed at once after an idle period
  * @outcome_delay_us: how long an outcome waits for a claim to share its write
- * with; a crash in that time leaves the outcome of the key unknown
+ *                    with; a crash in that time leaves the outcome unknown
  * @backoff_us: wait after the store failed, doubled up to @backoff_max_us
  * @backoff_max_us: longest such wait
  * @decision_timeout_us: a claim not decided within this time is refused
--- a/src/libparsleygw/claim_shard.h
+++ b/src/libparsleygw/claim_shard.h
@@ -29,7 +29,7 @@
  * @dirty: the stored object does not have this state yet
  * @ended_us: when the run ended
  * @needs_recheck: a record or window of another process covers the key; read
- * the object again before deciding
+ *                 the object again before deciding
  * @is_drafted: included in a write that is outstanding or whose result is
  *              unknown
  * @drafted_version: object version that this write expects
--- a/src/libparsleygw/claim_sweep.c
+++ b/src/libparsleygw/claim_sweep.c
@@ -52,11 +52,11 @@
             uint64_t to)
 {
     for (uint64_t period = from; period <= to; period++) {
-        struct sweep_object *sweep_object = g_new0(struct sweep_object, 1);
+        struct sweep_object *object = g_new0(struct sweep_object, 1);
 
-        g_snprintf(sweep_object->name, sizeof(sweep_object->name),
-                   "%s.%" G_GUINT64_FORMAT, shard, period);
-        pgw_list_append(&sweep->objects, &sweep_object->link);
+        g_snprintf(object->name, sizeof(object->name), "%s.%" G_GUINT64_FORMAT,
+                   shard, period);
+        pgw_list_append(&sweep->objects, &object->link);
     }
 }
 
@@ -65,24 +65,24 @@
                          uint64_t now_us)
 {
     uint64_t period_us = sweep->layout.period_us;
-    uint64_t age =
+    uint64_t age_us =
         sweep->layout.retention_us + sweep->clock_skew_us + period_us;
-    const char *last = strrchr(name, '.');
-    uint64_t *swept_periods;
+    const char *suffix = strrchr(name, '.');
+    uint64_t *last_period;
     uint64_t newest, from;
     char *shard;
 
-    if (last == NULL || !g_ascii_isdigit(last[1]) ||
-        now_us < age + period_us) {
+    if (suffix == NULL || !g_ascii_isdigit(suffix[1]) ||
+        now_us < age_us + period_us) {
         return;
     }
     /* The period ended more than the retention plus the clock skew ago. */
-    newest = (now_us - age) / period_us - 1;
-    shard = g_strndup(name, (gsize)(last - name));
-    swept_periods = g_hash_table_lookup(sweep->swept_periods, shard);
+    newest = (now_us - age_us) / period_us - 1;
+    shard = g_strndup(name, (gsize)(suffix - name));
+    last_period = g_hash_table_lookup(sweep->swept_periods, shard);
     from = newest - MIN(newest, sweep->initial_periods);
-    if (swept_periods != NULL) {
-        from = MAX(from, *swept_periods + 1);
+    if (last_period != NULL) {
+        from = MAX(from, *last_period + 1);
     }
     add_objects(sweep, shard, from, newest);
     if (from <= newest) {
