--- a/include/parsleygw/attempt.h
+++ b/include/parsleygw/attempt.h
@@ -8,33 +8,33 @@
 /**
  * DOC: Attempts of a request
  *
- * The entry's view of one request over all its attempts, as a pure state
- * machine: events in, one decision out. It keeps the rules that make every
- * answer truthful: which attempt an event belongs to, what is known about the
- * run of each attempt, and when the request may be sent again. It does no I/O
- * and reads no clock. Times are microseconds of any clock that only grows.
+ * The entry's state of one request over all its attempts, as a pure state
+ * machine: each event gives one decision. It decides which attempt an event
+ * belongs to, whether each attempt may have run, and when the request may be
+ * retried. It does no I/O and reads no clock. Times are microseconds of any
+ * monotonic clock.
  */
 
-/** Most attempts of one request, resumptions included. */
+/** Maximum attempts of one request, including resumptions. */
 #define PGW_ATTEMPT_MAX 8
 
-/** Upstreams that may die under one request before it is given up. */
+/** Upstreams that may crash under one request before it is refused. */
 #define PGW_ATTEMPT_CRASHES_MAX 2
 
-/** Longest name of a weights version, the terminating zero included. */
+/** Size of the name of a weights version, including the terminating zero. */
 #define PGW_ATTEMPT_VERSION_SIZE 64
 
 /**
- * struct pgw_attempt_options - what is fixed for the whole request
- * @id: the request's identity; events that carry another are dropped
- * @deadline_us: latest moment for the whole answer
- * @grace_us: how long after the deadline the sidecar's own word is awaited, so
- *            that a request which waited in a queue ends as "not run"
- * @repeatable: a second run does no harm
+ * struct pgw_attempt_options - settings of one request
+ * @id: ID of the request; events with another ID are dropped
+ * @deadline_us: deadline of the complete answer
+ * @grace_us: how long after the deadline the entry waits for the sidecar's
+ *            Fail, so that a request that was only queued ends as "not run"
+ * @repeatable: the request may run more than once
  * @tokens: Data carries model tokens, which another engine can continue
- * @buffered: the caller sees nothing before End, so that pieces can be
- *            thrown away and the request run from its start again
- * @attempts_max: most attempts, at most %PGW_ATTEMPT_MAX
+ * @buffered: the caller receives nothing before End, so that received data can
+ *            be discarded and the request be run again from its start
+ * @attempts_max: maximum attempts, at most %PGW_ATTEMPT_MAX
  */
 struct pgw_attempt_options {
     struct pgw_request_id id;
@@ -59,7 +59,7 @@
  * @PGW_ATTEMPT_END: frame End
  * @PGW_ATTEMPT_FAIL: frame Fail
  * @PGW_ATTEMPT_LINK_LOST: the link broke after a byte of Open was written
- * @PGW_ATTEMPT_TIMER: the moment of pgw_attempt_next_timer() came
+ * @PGW_ATTEMPT_TIMER: the time of pgw_attempt_next_timer() was reached
  * @PGW_ATTEMPT_CALLER_GONE: the caller closed its connection
  * @PGW_ATTEMPT_EXHAUSTED: after a decision to retry or resume: no candidate
  *                         is left, or the retry budget is used up
@@ -79,10 +79,10 @@
 /**
  * struct pgw_attempt_event - one event
  * @kind: what happened
- * @id: request named by the frame; ignored for TIMER, CALLER_GONE, EXHAUSTED
- * @attempt: attempt named by the frame; ignored likewise
+ * @id: request ID in the frame; ignored for TIMER, CALLER_GONE, EXHAUSTED
+ * @attempt: attempt number in the frame; ignored for the same events
  * @sequence: of Data and End
- * @token_index: of Data: first token, counted over all attempts
+ * @token_index: of Data: index of its first token, counted over all attempts
  * @token_count: of Data
  * @refusal: of Fail: one of &enum pgw_refusal
  * @ran: of Fail: one of &enum pgw_ran
@@ -105,15 +105,15 @@
 /**
  * enum pgw_attempt_action - what the entry does next
  * @PGW_ATTEMPT_NOTHING: nothing; see @drop of the decision
- * @PGW_ATTEMPT_DELIVER: hand this event's data to the caller (or its buffer)
- * @PGW_ATTEMPT_FINISH: the answer is whole: end it towards the caller
+ * @PGW_ATTEMPT_DELIVER: pass the data to the caller or its buffer
+ * @PGW_ATTEMPT_FINISH: the answer is complete: end it for the caller
  * @PGW_ATTEMPT_RETRY: start another attempt from the first token on a
- *                     candidate not tried yet; empty the caller's buffer
+ *                     candidate not tried yet; clear the caller's buffer
  * @PGW_ATTEMPT_RESUME: start another attempt that continues after
- *                      @resume_from tokens on the version
- * pgw_attempt_version()
- * @PGW_ATTEMPT_REFUSE: end with the refusal; once bytes were delivered, as an
- *                    explicit error event or by breaking off the connection
+ *                      @resume_from tokens, on an engine that runs
+ *                      pgw_attempt_version()
+ * @PGW_ATTEMPT_REFUSE: end with the refusal; if data was delivered, by an
+ *                      error event or by closing the connection
  */
 enum pgw_attempt_action {
     PGW_ATTEMPT_NOTHING,
@@ -126,12 +126,12 @@
 
 /**
  * enum pgw_attempt_drop - why an event had no effect
- * @PGW_ATTEMPT_NOT_DROPPED: it was not dropped
- * @PGW_ATTEMPT_DROP_REQUEST: it names another request
- * @PGW_ATTEMPT_DROP_ATTEMPT: it names an attempt that is not the current one
+ * @PGW_ATTEMPT_NOT_DROPPED: the event was not dropped
+ * @PGW_ATTEMPT_DROP_REQUEST: it belongs to another request
+ * @PGW_ATTEMPT_DROP_ATTEMPT: it does not belong to the current attempt
  * @PGW_ATTEMPT_DROP_FINISHED: the request has ended
- * @PGW_ATTEMPT_DROP_IDLE: no attempt is under way
- * @PGW_ATTEMPT_DROP_DUPLICATE: this Data or Started was seen before
+ * @PGW_ATTEMPT_DROP_IDLE: no attempt is in flight
+ * @PGW_ATTEMPT_DROP_DUPLICATE: this Data or Started was received before
  * @PGW_ATTEMPT_DROP_COUNT: number of reasons
  */
 enum pgw_attempt_drop {
@@ -147,9 +147,9 @@
 /**
  * enum pgw_attempt_verdict - what is known about one attempt
  * @PGW_ATTEMPT_OPEN: not ended yet
- * @PGW_ATTEMPT_DONE: it gave the whole answer
- * @PGW_ATTEMPT_NOT_RUN: nobody started it
- * @PGW_ATTEMPT_UNKNOWN: it may have run, wholly or in part
+ * @PGW_ATTEMPT_DONE: it returned the complete answer
+ * @PGW_ATTEMPT_NOT_RUN: it did not run
+ * @PGW_ATTEMPT_UNKNOWN: it may have run, completely or in part
  */
 enum pgw_attempt_verdict {
     PGW_ATTEMPT_OPEN,
@@ -159,17 +159,17 @@
 };
 
 /**
- * struct pgw_attempt_decision - the answer to one event
+ * struct pgw_attempt_decision - decision on one event
  * @action: what to do
  * @cancel: also send Cancel for attempt @cancel_attempt, whatever @action is
  * @cancel_attempt: number of the attempt to cancel
- * @charged: a retry or resumption that must be paid from the retry budget;
- *           one whose attempt never left this process costs nothing
+ * @charged: the retry or resumption uses the retry budget; it does not if the
+ *           failed attempt was never sent
  * @resume_from: tokens already delivered, for RESUME
- * @refusal: for REFUSE: why
- * @ran: for REFUSE: what is known over all attempts
- * @retry_after_ms: for REFUSE: 0 says nothing
- * @protocol_fault: the sidecar broke the frame order (count it)
+ * @refusal: for REFUSE: the reason
+ * @ran: for REFUSE: whether any attempt ran
+ * @retry_after_ms: for REFUSE: 0: none given
+ * @protocol_fault: the sidecar violated the protocol; to be counted
  * @drop: why the event was dropped
  */
 struct pgw_attempt_decision {
@@ -188,7 +188,7 @@
 /**
  * struct pgw_attempt - state of one request; fields are private
  *
- * Plain data without pointers: it may be copied and needs no disposal.
+ * Plain data without pointers: it may be copied and needs no cleanup.
  */
 struct pgw_attempt {
     struct pgw_attempt_options options;
@@ -201,7 +201,7 @@
     bool in_flight;
     bool started;
     bool closing;
-    bool versioned;
+    bool has_version;
     uint64_t next_sequence;
     uint32_t tokens;
     uint64_t delivered;
@@ -211,8 +211,8 @@
 };
 
 /**
- * pgw_attempt_init() - begin a request
- * @out: state to fill
+ * pgw_attempt_init() - initialize the state of a request
+ * @out: state to initialize
  * @options: copied
  */
 void pgw_attempt_init(struct pgw_attempt *out,
@@ -220,21 +220,21 @@
 
 /**
  * pgw_attempt_start() - begin the next attempt
- * @attempt: state
- * @candidate: number of the chosen upstream, of the caller's own numbering
+ * @attempt: state of the request
+ * @candidate: number of the chosen upstream, assigned by the calling code
  *
- * To be called before the first byte of Open is written. If the write then
- * fails with no byte written the event is NOT_SENT, else LINK_LOST.
+ * To be called before the first byte of Open is written. If the write fails,
+ * the event is NOT_SENT if no byte was written, else LINK_LOST.
  *
- * Return: the attempt's number, from 1, to be put into Open; 0 when an attempt
- * is under way, the request has ended or the attempts are used up.
+ * Return: the attempt's number for Open, from 1; 0 when an attempt is in
+ * flight, the request has ended or no attempts are left.
  */
 uint32_t pgw_attempt_start(struct pgw_attempt *attempt, uint64_t candidate);
 
 /**
- * pgw_attempt_step() - take one event
- * @out: receives the decision, always wholly written
- * @attempt: state
+ * pgw_attempt_step() - handle one event
+ * @out: receives the decision; all members are set
+ * @attempt: state of the request
  * @event: what happened
  * @now_us: the time
  */
@@ -243,25 +243,26 @@
                       const struct pgw_attempt_event *event, uint64_t now_us);
 
 /**
- * pgw_attempt_was_tried() - whether a candidate failed this request before
- * @attempt: state
+ * pgw_attempt_was_tried() - whether an attempt used a candidate
+ * @attempt: state of the request
  * @candidate: as given to pgw_attempt_start()
  */
 bool pgw_attempt_was_tried(const struct pgw_attempt *attempt,
                            uint64_t candidate);
 
 /**
- * pgw_attempt_ran() - what is known about the attempts that have ended
- * @attempt: state
+ * pgw_attempt_ran() - whether any ended attempt ran
+ * @attempt: state of the request
  *
- * Return: the worst of all; anything but %PGW_RAN_NO makes the next attempt
- * one that may have crashed an upstream, so that its sidecar has to check it.
+ * Return: the worst over all ended attempts. Unless it is %PGW_RAN_NO, the
+ * request may have crashed an upstream, and the sidecar of the next attempt
+ * must check it.
  */
 enum pgw_ran pgw_attempt_ran(const struct pgw_attempt *attempt);
 
 /**
  * pgw_attempt_next_timer() - when to send the event TIMER
- * @attempt: state
+ * @attempt: state of the request
  *
  * Return: a time in microseconds, UINT64_MAX once the request has ended.
  */
@@ -269,7 +270,7 @@
 
 /**
  * pgw_attempt_deadline_ms() - time left for the Open of an attempt
- * @attempt: state
+ * @attempt: state of the request
  * @now_us: the time
  *
  * Return: milliseconds, rounded down; 0 once the deadline has passed.
@@ -278,10 +279,10 @@
                                  uint64_t now_us);
 
 /**
- * pgw_attempt_version() - weights version that a resumption must have
- * @attempt: state
+ * pgw_attempt_version() - weights version that a resumption needs
+ * @attempt: state of the request
  *
- * Return: the version that gave the delivered tokens, "" before any.
+ * Return: the version that generated the delivered tokens, "" before any.
  */
 const char *pgw_attempt_version(const struct pgw_attempt *attempt);
 
--- a/src/libparsleygw/attempt.c
+++ b/src/libparsleygw/attempt.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Refusals after which another candidate may do better. */
+/* Refusals after which another candidate may accept the request. */
 static const bool retryable[PGW_REFUSAL_COUNT] = {
     [PGW_REFUSAL_OVERLOADED] = true,      [PGW_REFUSAL_LEAVING] = true,
     [PGW_REFUSAL_STALE] = true,           [PGW_REFUSAL_NO_UPSTREAM] = true,
@@ -11,8 +11,8 @@
 };
 
 /**
- * struct failure - how an attempt ended without a whole answer
- * @sent: a byte of it may have left this process
+ * struct failure - how an attempt ended without a complete answer
+ * @sent: a byte of it may have been sent
  */
 struct failure {
     enum pgw_attempt_verdict verdict;
@@ -56,10 +56,11 @@
 {
 #ifndef PGW_DISABLE_ATTEMPT_IDENTITY
     /*
-     * Failure: answers arrive late or crossed, after the request moved on to
-     * another attempt. Symptom: a caller gets tokens of a given-up attempt or
-     * of somebody else's request. Every frame names request and attempt, so
-     * comparing both drops each frame that is not the current attempt's.
+     * Failure: frames arrive late or on the wrong request, after the request
+     * started another attempt. Symptom: a caller gets tokens of an abandoned
+     * attempt or of another request. Every frame names its request and
+     * attempt, so comparing both drops each frame that does not belong to the
+     * current attempt.
      */
     if (memcmp(&event->id, &attempt->options.id, sizeof(event->id)) != 0) {
         return PGW_ATTEMPT_DROP_REQUEST;
@@ -72,18 +73,18 @@
                               : PGW_ATTEMPT_DROP_IDLE;
 }
 
-/* What the whole request may claim about its run only ever gets worse. */
+/* The value for the whole request is the worst over its attempts. */
 static void
-remember_ran(struct pgw_attempt *attempt, enum pgw_ran ran)
+merge_ran(struct pgw_attempt *attempt, enum pgw_ran ran)
 {
 #ifdef PGW_DISABLE_ATTEMPT_HISTORY
     attempt->ran = ran;
 #else
     /*
      * Failure: the first attempt ended unknown, the second is refused before
-     * it ran. Symptom: the caller hears "not run" although the first one may
-     * have. The answer is the worst of all attempts, so "no" needs all of
-     * them.
+     * it ran. Symptom: the caller gets "not run" although the first attempt
+     * may have run. The answer is the worst of all attempts, so "no" requires
+     * that none of them ran.
      */
     if (ran == PGW_RAN_YES ||
         (ran == PGW_RAN_UNKNOWN && attempt->ran == PGW_RAN_NO)) {
@@ -109,9 +110,9 @@
 {
 #ifndef PGW_DISABLE_ATTEMPT_REPEATABLE
     /*
-     * Failure: the link breaks after a print was handed over. Symptom of
-     * sending it again: two labels. Only an attempt known not to have run is
-     * repeated unless the profile says that a second run does no harm.
+     * Failure: the link breaks after a print request was sent. Symptom of a
+     * retry: two labels are printed. Unless the profile allows more than one
+     * run, only an attempt that did not run is retried.
      */
     if (failure->verdict != PGW_ATTEMPT_NOT_RUN &&
         !attempt->options.repeatable) {
@@ -120,9 +121,10 @@
 #endif
 #ifndef PGW_DISABLE_ATTEMPT_CRASHES
     /*
-     * Failure: a request crashes each upstream that runs it while the store,
-     * which would tell, is down. Symptom: its retries crash one after the
-     * other. A request under which two died is not sent to a third.
+     * Failure: a request crashes each upstream that runs it, and the store,
+     * which records suspects, is down. Symptom: its retries crash one upstream
+     * after the other. A request under which two upstreams crashed is not sent
+     * to a third.
      */
     if (attempt->crashes >= PGW_ATTEMPT_CRASHES_MAX) {
         return false;
@@ -133,16 +135,17 @@
 }
 
 static void
-choose_next(struct pgw_attempt_decision *out, struct pgw_attempt *attempt)
+choose_retry(struct pgw_attempt_decision *out, struct pgw_attempt *attempt)
 {
-    bool whole = attempt->delivered == 0;
+    bool is_undelivered = attempt->delivered == 0;
 
-    if (whole || (attempt->options.buffered && !attempt->options.tokens)) {
+    if (is_undelivered ||
+        (attempt->options.buffered && !attempt->options.tokens)) {
         attempt->delivered = 0;
         attempt->tokens = 0;
         out->action = PGW_ATTEMPT_RETRY;
     }
-    else if (attempt->options.tokens && attempt->versioned) {
+    else if (attempt->options.tokens && attempt->has_version) {
         out->action = PGW_ATTEMPT_RESUME;
         out->resume_from = attempt->tokens;
     }
@@ -159,9 +162,8 @@
     attempt->verdict = failure->verdict;
     attempt->last_refusal = failure->refusal;
     attempt->last_retry_after_ms = failure->retry_after_ms;
-    remember_ran(attempt, failure->verdict == PGW_ATTEMPT_NOT_RUN
-                              ? PGW_RAN_NO
-                              : failure->ran);
+    merge_ran(attempt, failure->verdict == PGW_ATTEMPT_NOT_RUN ? PGW_RAN_NO
+                                                               : failure->ran);
     if (attempt->closing || now_us >= attempt->options.deadline_us) {
         finish(out, attempt, PGW_REFUSAL_DEADLINE);
     }
@@ -170,12 +172,11 @@
     }
     else {
         out->charged = failure->sent;
-        choose_next(out, attempt);
+        choose_retry(out, attempt);
     }
 }
 
-/* An attempt that was handed over, or may have been, without a whole answer.
- */
+/* An attempt that ran, or may have run, without a complete answer. */
 static struct failure
 unknown_failure(const struct pgw_attempt *attempt, enum pgw_refusal refusal)
 {
@@ -188,8 +189,9 @@
 }
 
 static void
-end_faulty(struct pgw_attempt_decision *out, struct pgw_attempt *attempt,
-           enum pgw_refusal refusal, uint64_t now_us)
+end_with_protocol_fault(struct pgw_attempt_decision *out,
+                        struct pgw_attempt *attempt, enum pgw_refusal refusal,
+                        uint64_t now_us)
 {
     struct failure failure = unknown_failure(attempt, refusal);
 
@@ -210,7 +212,8 @@
 
     (void)event;
     if (attempt->started) {
-        end_faulty(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED, now_us);
+        end_with_protocol_fault(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED,
+                                now_us);
         return;
     }
     end_failed(out, attempt, &failure, now_us);
@@ -228,34 +231,35 @@
     failure.verdict = PGW_ATTEMPT_NOT_RUN;
 #else
     /*
-     * Failure: the link breaks after Open was written. Symptom of guessing
-     * "not run": the sidecar had read it, the print ran, the caller repeats
-     * it. Without the sidecar's own word the verdict stays unknown.
+     * Failure: the link breaks after Open was written. Symptom of assuming
+     * "not run": the sidecar had read Open, the print ran, and the caller
+     * retries it. Without a Fail from the sidecar the verdict stays unknown.
      */
 #endif
     end_failed(out, attempt, &failure, now_us);
 }
 
 static bool
-store_version(struct pgw_attempt *attempt, const char *version)
+accept_version(struct pgw_attempt *attempt, const char *version)
 {
     size_t size = version != NULL ? strlen(version) : 0;
 
     if (attempt->tokens > 0) {
 #ifndef PGW_DISABLE_ATTEMPT_VERSION
         /*
-         * Failure: an engine dies midway and the next one runs other weights.
-         * Symptom: one answer made of two models. A resumption whose engine
-         * names another version than the delivered tokens' is given up.
+         * Failure: an engine crashes during an answer, and the next engine
+         * runs other weights. Symptom: one answer mixes two models. A
+         * resumption ends if its engine reports another version than the one
+         * that generated the delivered tokens.
          */
-        return attempt->versioned && version != NULL &&
+        return attempt->has_version && version != NULL &&
                strcmp(attempt->version, version) == 0;
 #else
         return true;
 #endif
     }
-    attempt->versioned = size > 0 && size < sizeof(attempt->version);
-    if (attempt->versioned) {
+    attempt->has_version = size > 0 && size < sizeof(attempt->version);
+    if (attempt->has_version) {
         memcpy(attempt->version, version, size + 1);
     }
     return true;
@@ -270,21 +274,21 @@
         return;
     }
     attempt->started = true;
-    if (attempt->options.tokens && !store_version(attempt, event->version)) {
-        end_faulty(out, attempt, PGW_REFUSAL_STALE, now_us);
+    if (attempt->options.tokens && !accept_version(attempt, event->version)) {
+        end_with_protocol_fault(out, attempt, PGW_REFUSAL_STALE, now_us);
     }
 }
 
-/* Data and End may only come in the order in which the sidecar sent them. */
+/* Whether Data or End is the next frame in the order of the sidecar. */
 static bool
 is_in_order(const struct pgw_attempt *attempt,
             const struct pgw_attempt_event *event)
 {
 #ifndef PGW_DISABLE_ATTEMPT_GAP
     /*
-     * Failure: frames are lost or reordered on the way. Symptom: an answer
-     * with a hole that looks whole. Sequence and token index must follow on
-     * without a gap, so a hole ends the attempt instead of the answer.
+     * Failure: frames are lost or reordered in transit. Symptom: an answer
+     * with missing data that looks complete. Sequence and token index must be
+     * consecutive, so a gap ends the attempt instead of the answer.
      */
     if (!attempt->started || event->sequence != attempt->next_sequence) {
         return false;
@@ -309,7 +313,8 @@
     }
 #endif
     if (!is_in_order(attempt, event)) {
-        end_faulty(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED, now_us);
+        end_with_protocol_fault(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED,
+                                now_us);
         return;
     }
     attempt->next_sequence++;
@@ -323,7 +328,8 @@
        const struct pgw_attempt_event *event, uint64_t now_us)
 {
     if (!is_in_order(attempt, event)) {
-        end_faulty(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED, now_us);
+        end_with_protocol_fault(out, attempt, PGW_REFUSAL_UPSTREAM_FAILED,
+                                now_us);
         return;
     }
     attempt->verdict = PGW_ATTEMPT_DONE;
@@ -344,9 +350,9 @@
 
 #ifndef PGW_DISABLE_ATTEMPT_STARTED
     /*
-     * Failure: the sidecar says "not run" after it had said Started. Symptom:
-     * a handed-over request reported as never run. Started is final: the
-     * later word is taken as a fault of the sidecar and not believed.
+     * Failure: the sidecar sends Fail with "not run" after Started. Symptom: a
+     * request that was sent to the upstream is reported as not run. Started is
+     * final: "not run" after it is a fault of the sidecar and is ignored.
      */
     not_run = not_run && !attempt->started;
 #endif
@@ -364,8 +370,8 @@
 }
 
 static void
-cancel_current(struct pgw_attempt_decision *out,
-               const struct pgw_attempt *attempt)
+cancel_attempt_in_flight(struct pgw_attempt_decision *out,
+                         const struct pgw_attempt *attempt)
 {
     out->cancel = attempt->in_flight && !attempt->closing;
     out->cancel_attempt = attempt->count;
@@ -375,10 +381,10 @@
 give_up(struct pgw_attempt_decision *out, struct pgw_attempt *attempt,
         enum pgw_refusal refusal)
 {
-    cancel_current(out, attempt);
+    cancel_attempt_in_flight(out, attempt);
     if (attempt->in_flight) {
         attempt->verdict = PGW_ATTEMPT_UNKNOWN;
-        remember_ran(attempt, unknown_failure(attempt, refusal).ran);
+        merge_ran(attempt, unknown_failure(attempt, refusal).ran);
     }
     finish(out, attempt, refusal);
 }
@@ -393,7 +399,7 @@
         return;
     }
     if (attempt->in_flight && now_us < deadline + attempt->options.grace_us) {
-        cancel_current(out, attempt);
+        cancel_attempt_in_flight(out, attempt);
         attempt->closing = true;
         return;
     }
@@ -494,7 +500,7 @@
 const char *
 pgw_attempt_version(const struct pgw_attempt *attempt)
 {
-    return attempt->tokens > 0 && attempt->versioned ? attempt->version : "";
+    return attempt->tokens > 0 && attempt->has_version ? attempt->version : "";
 }
 
 const char *
--- a/tests/property/prop_attempt.cc
+++ b/tests/property/prop_attempt.cc
@@ -1,6 +1,6 @@
-// One request over its attempts, against sidecars whose frames are lost,
-// repeated, reordered and crossed while links break and the deadline passes.
-// The caller must get the tokens in order and whole, or a true refusal.
+// One request over its attempts, with sidecars whose frames are lost,
+// duplicated, reordered and misdirected while links break and the deadline
+// passes. The caller must get all tokens in order, or a correct refusal.
 #include "parsleygw/attempt.h"
 #include "prop_support.h"
 
@@ -13,12 +13,12 @@
 constexpr uint64_t kDeadline = 1000000;
 constexpr uint32_t kTokens = 6;
 
-// One attempt as its sidecar sees it; frames wait in `frames`.
+// State of one attempt at its sidecar; its frames are queued in `frames`.
 struct sidecar {
     uint32_t attempt;
-    bool received = false; // Open has arrived
-    bool ran = false;      // handed to the upstream
-    bool over = false;     // said its last word
+    bool received = false;  // Open has arrived
+    bool ran = false;       // sent to the upstream
+    bool is_closed = false; // sent its last frame
     uint32_t version;
     uint32_t next_token;
     uint64_t sequence = 0;
@@ -35,19 +35,18 @@
     std::vector<sidecar> sidecars;
     std::vector<frame> frames;
     uint64_t now = 0;
-    uint32_t got = 0;       // tokens at the caller, in order
-    uint32_t versions = 0;  // version of the tokens at the caller
-    bool whole = false;     // the caller saw the end
+    uint32_t delivered = 0;   // tokens at the caller
+    uint32_t versions = 0;    // version of the tokens at the caller
+    bool is_complete = false; // the caller received the end
     bool ended = false;
     bool may_start = true;
     uint32_t resume_from = 0;
     std::optional<pgw_attempt_decision> refusal;
-    bool unsure = false; // an attempt of a call that may not be repeated
-                         // ended other than "not run"
+    bool may_have_run = false; // an attempt ended other than "not run"
 
-    bool wild; // frames of a link may be lost, repeated and reordered
+    bool is_faulty; // frames of a link may be lost, duplicated and reordered
 
-    explicit world(uint32_t kind) : wild(kind >= 8)
+    explicit world(uint32_t kind) : is_faulty(kind >= 8)
     {
         options = PGW_ATTEMPT_OPTIONS_INIT;
         memset(options.id.bytes, 7, sizeof(options.id.bytes));
@@ -82,7 +81,7 @@
             return;
         }
         RC_ASSERT(number == sidecars.size() + 1);
-        RC_ASSERT(!(unsure && !options.repeatable));
+        RC_ASSERT(!(may_have_run && !options.repeatable));
         RC_ASSERT(crashes < PGW_ATTEMPT_CRASHES_MAX);
         may_start = false;
         sidecars.push_back({number});
@@ -91,7 +90,7 @@
     }
 
     void
-    take(const pgw_attempt_event &event, uint32_t version)
+    handle(const pgw_attempt_event &event, uint32_t version)
     {
         char name[16];
         pgw_attempt_event copy = event;
@@ -109,24 +108,25 @@
         }
         switch (out.action) {
         case PGW_ATTEMPT_DELIVER:
-            // The event must belong to the current attempt and follow on.
+            // The event must be the next one of the current attempt.
             RC_ASSERT(event.attempt == before);
             RC_ASSERT(event.id.bytes[0] == 7);
             RC_ASSERT(event.sequence == next_sequence);
-            RC_ASSERT(!options.tokens || event.token_index == got);
-            RC_ASSERT(got == 0 || !options.tokens || versions == version);
+            RC_ASSERT(!options.tokens || event.token_index == delivered);
+            RC_ASSERT(delivered == 0 || !options.tokens ||
+                      versions == version);
             versions = version;
-            got += options.tokens ? event.token_count : 1;
+            delivered += options.tokens ? event.token_count : 1;
             next_sequence++;
             break;
         case PGW_ATTEMPT_FINISH:
             RC_ASSERT(!ended);
-            RC_ASSERT(got == kTokens);
-            whole = ended = true;
+            RC_ASSERT(delivered == kTokens);
+            is_complete = ended = true;
             break;
         case PGW_ATTEMPT_RETRY:
         case PGW_ATTEMPT_RESUME:
-            next(out);
+            prepare_next(out);
             break;
         case PGW_ATTEMPT_REFUSE:
             RC_ASSERT(!ended);
@@ -142,20 +142,20 @@
     unsigned crashes = 0;
 
     void
-    next(const pgw_attempt_decision &out)
+    prepare_next(const pgw_attempt_decision &out)
     {
         RC_ASSERT(now < kDeadline);
         RC_ASSERT(!ended);
-        unsure = unsure || state.verdict != PGW_ATTEMPT_NOT_RUN;
+        may_have_run = may_have_run || state.verdict != PGW_ATTEMPT_NOT_RUN;
         next_sequence = 0;
         if (out.action == PGW_ATTEMPT_RETRY) {
-            RC_ASSERT(got == 0 || options.buffered);
-            got = 0;
+            RC_ASSERT(delivered == 0 || options.buffered);
+            delivered = 0;
             resume_from = 0;
         }
         else {
-            RC_ASSERT(out.resume_from == got);
-            resume_from = got;
+            RC_ASSERT(out.resume_from == delivered);
+            resume_from = delivered;
         }
         may_start = true;
     }
@@ -177,17 +177,17 @@
         frames.push_back({event, from.version});
     }
 
-    // The sidecar's next move: take Open in, run, send the next piece, fail.
+    // The sidecar's next step: receive Open, run, send the next Data, or fail.
     void
-    work(sidecar &one, choices &choose)
+    advance(sidecar &one, choices &choose)
     {
-        if (one.over) {
+        if (one.is_closed) {
             return;
         }
         if (!one.received) {
             one.received = true;
             if (choose.pick(4) == 0) {
-                one.over = true;
+                one.is_closed = true;
                 send(one, PGW_ATTEMPT_FAIL, 0, PGW_REFUSAL_OVERLOADED,
                      PGW_RAN_NO);
             }
@@ -199,11 +199,11 @@
             return;
         }
         if (choose.pick(8) == 0) {
-            one.over = true;
-            // A confused sidecar may even say "not run" now; that is seen
-            // through as long as its frames keep their order.
+            one.is_closed = true;
+            // A faulty sidecar may even send "not run" now; the entry
+            // detects it as long as the frames are in order.
             send(one, PGW_ATTEMPT_FAIL, 0, PGW_REFUSAL_UPSTREAM_FAILED,
-                 wild ? 1 + choose.pick(2) : choose.pick(3));
+                 is_faulty ? 1 + choose.pick(2) : choose.pick(3));
             return;
         }
         if (one.next_token < kTokens) {
@@ -211,39 +211,39 @@
             one.sequence++;
             return;
         }
-        one.over = true;
+        one.is_closed = true;
         send(one, PGW_ATTEMPT_END);
     }
 
-    // A frame arrives. The frames of one link keep their order unless `fault`:
-    // then one is taken out of turn, or lost, or comes again later.
+    // A frame arrives. The frames of one link keep their order; with `fault`
+    // a frame is reordered, lost, duplicated or has another request ID.
     void
     arrive(choices &choose, bool fault)
     {
         size_t k = fault ? choose.pick((uint32_t)frames.size()) : 0;
         frame one = frames[k];
-        uint32_t fate = fault ? choose.pick(4) : 0;
+        uint32_t fault_kind = fault ? choose.pick(4) : 0;
 
-        if (fate != 1) {
+        if (fault_kind != 1) {
             frames.erase(frames.begin() + (long)k);
         }
-        if (fate == 2) {
+        if (fault_kind == 2) {
             one.event.id.bytes[0] = 8;
         }
-        if (fate != 3) {
-            take(one.event, one.version);
+        if (fault_kind != 3) {
+            handle(one.event, one.version);
         }
     }
 
     void
-    local(pgw_attempt_event_kind kind)
+    handle_local(pgw_attempt_event_kind kind)
     {
         pgw_attempt_event event = {};
 
         event.kind = kind;
         event.id = options.id;
         event.attempt = state.count;
-        take(event, 0);
+        handle(event, 0);
     }
 
     void
@@ -256,32 +256,32 @@
             start(choose.pick(6) == 0 ? 2 : 1);
         }
         else if (what < 20 && !sidecars.empty()) {
-            work(sidecars[choose.pick(3) == 0
-                              ? choose.pick((uint32_t)sidecars.size())
-                              : sidecars.size() - 1],
-                 choose);
+            advance(sidecars[choose.pick(3) == 0
+                                 ? choose.pick((uint32_t)sidecars.size())
+                                 : sidecars.size() - 1],
+                    choose);
         }
         else if (what < 35 && !frames.empty()) {
-            arrive(choose, wild && choose.pick(6) == 0);
+            arrive(choose, is_faulty && choose.pick(6) == 0);
         }
         else if (what == 35 && !sidecars.empty()) {
             sidecar &last = sidecars.back();
 
-            // Only an Open that never left may be reported as not sent.
-            local(last.received ? PGW_ATTEMPT_LINK_LOST
-                                : PGW_ATTEMPT_NOT_SENT);
-            last.over = last.over || !last.received;
+            // Only an Open that was never sent may be reported as not sent.
+            handle_local(last.received ? PGW_ATTEMPT_LINK_LOST
+                                       : PGW_ATTEMPT_NOT_SENT);
+            last.is_closed = last.is_closed || !last.received;
         }
         else if (what == 36) {
             now += choose.pick(4) == 0 ? kDeadline / 3 : 1000;
-            local(PGW_ATTEMPT_TIMER);
+            handle_local(PGW_ATTEMPT_TIMER);
         }
         else if (what == 37 && may_start && choose.pick(4) == 0 &&
                  !sidecars.empty()) {
-            local(PGW_ATTEMPT_EXHAUSTED);
+            handle_local(PGW_ATTEMPT_EXHAUSTED);
         }
         else if (what == 38 && choose.pick(10) == 0) {
-            local(PGW_ATTEMPT_CALLER_GONE);
+            handle_local(PGW_ATTEMPT_CALLER_GONE);
         }
     }
 
@@ -289,10 +289,10 @@
     check_end()
     {
         now = kDeadline + 200000;
-        local(PGW_ATTEMPT_TIMER);
+        handle_local(PGW_ATTEMPT_TIMER);
         RC_ASSERT(ended);
         RC_ASSERT(pgw_attempt_next_timer(&state) == UINT64_MAX);
-        if (whole) {
+        if (is_complete) {
             return;
         }
         RC_ASSERT(refusal.has_value());
@@ -308,7 +308,8 @@
 {
     bool good = true;
 
-    good &= rc::check("answers are whole and in order, refusals true", [] {
+    good &= rc::check("answers are complete and in order, refusals "
+                      "are correct", [] {
         world one(*rc::gen::inRange(0u, 16u));
 
         for (uint32_t number : random_script(150)) {
@@ -332,7 +333,7 @@
 
             one.arrive(choose, false);
         }
-        RC_ASSERT(one.whole);
+        RC_ASSERT(one.is_complete);
         RC_ASSERT(one.state.count == 1u);
     });
     return good ? 0 : 1;
