--- a/bench/microbench/admit.c
+++ b/bench/microbench/admit.c
@@ -44,7 +44,7 @@
 
     options.max_running = 1;
     options.max_waiting = (uint32_t)workspaces * ITEMS_PER_WORKSPACE;
-    options.starve_us = UINT64_MAX / 2;
+    options.starvation_us = UINT64_MAX / 2;
     state->admit = pgw_admit_new(&options);
     state->workspaces = workspaces;
     state->now = 1;
@@ -132,7 +132,7 @@
      * and none for its next. */
     pgw_admit_done(state->admit, &state->items[1], 0, state->now);
     microbench_use((uintptr_t)pgw_admit_next(state->admit, state->now));
-    pgw_admit_correct(state->admit, &state->items[2], 1);
+    pgw_admit_set_uncached_tokens(state->admit, &state->items[2], 1);
     state->workspaces = workspaces;
     for (uint64_t i = 0; i < workspaces; i++) {
         call_run(state, i);
--- a/include/parsleygw/admit.h
+++ b/include/parsleygw/admit.h
@@ -15,31 +15,31 @@
 /**
  * DOC: Admission at the sidecar
  *
- * The gate before one upstream. It keeps the upstream's own queue short, so
- * that the order of service is decided late: by priority, then fairly between
- * workspaces by share. Not thread-safe.
+ * Admission control before one upstream. It keeps the upstream's own queue
+ * short, so that the order of service is decided as late as possible: by
+ * priority, then fairly between workspaces by share. Not thread-safe.
  */
 
 struct pgw_admit;
 
 /**
- * struct pgw_admit_options - limits and first guesses
- * @max_running: requests that the upstream runs at once
- * @reserved: slots of @max_running that batch work leaves free
- * @max_prefill_tokens: uncached tokens handed to the upstream whose first
- *     token has not come; a single larger prompt may go alone
- * @max_waiting: waiting requests; each workspace may fill its share of it
- * @starve_us: a lower priority that has waited so long without a start gets
- *     one start
- * @prefill_tokens_per_s: first guess, learned from then on
- * @step_us: first guess of the time of one decode step, learned
+ * struct pgw_admit_options - limits and initial estimates
+ * @max_running: requests that the upstream runs concurrently
+ * @reserved: slots of @max_running that batch requests must not use
+ * @max_prefill_tokens: limit of the uncached tokens of running requests
+ *     without a first token; a single larger prompt may be sent alone
+ * @max_waiting: limit of waiting requests; each workspace may use its share
+ * @starvation_us: after this time without a start, a lower priority with
+ *     waiting requests gets one start
+ * @prefill_tokens_per_s: initial estimate, then learned
+ * @step_us: initial estimate of the time of one decode step, then learned
  */
 struct pgw_admit_options {
     uint32_t max_running;
     uint32_t reserved;
     uint32_t max_prefill_tokens;
     uint32_t max_waiting;
-    uint64_t starve_us;
+    uint64_t starvation_us;
     double prefill_tokens_per_s;
     double step_us;
 };
@@ -47,7 +47,7 @@
 #define PGW_ADMIT_OPTIONS_INIT                                                \
     {                                                                         \
         .max_running = 32, .reserved = 4, .max_prefill_tokens = 2048,         \
-        .max_waiting = 4096, .starve_us = 5000000,                            \
+        .max_waiting = 4096, .starvation_us = 5000000,                        \
         .prefill_tokens_per_s = 10000.0, .step_us = 20000.0                   \
     }
 
@@ -59,34 +59,34 @@
 };
 
 /**
- * struct pgw_admit_place - where an item stands at the gate; not for callers
- * @queue: link of its workspace's queue
- * @flow: its workspace's queue; NULL once it is not waiting there
+ * struct pgw_admit_position - position of an item; private
+ * @queue: link in the queue of its workspace, or among the expired items
+ * @flow: queue of its workspace; NULL if the item is not in it
  * @deadline: link among the deadlines of waiting items
- * @since: when it was started, later when its first token came
- * @started: when it was started
+ * @since_us: time of the offer, then of the start, then of the first token
+ * @started_us: when it was started
  */
-struct pgw_admit_place {
+struct pgw_admit_position {
     struct pgw_list queue;
     struct pgw_admit_flow *flow;
     struct pgw_heap_node deadline;
-    uint64_t since;
-    uint64_t started;
+    uint64_t since_us;
+    uint64_t started_us;
 };
 
 /**
- * struct pgw_admit_item - one request at the gate, embedded by the caller
- * @link: the caller's own, untouched while the item is at the gate
+ * struct pgw_admit_item - one request, embedded by the caller
+ * @link: for the caller, not used by admission
  * @workspace: pgw_level_workspace_hash() of the workspace
  * @share: the workspace's weight, 0 counts as 1
  * @priority: one of &enum pgw_priority
  * @deadline: latest time of the first token in microseconds, 0: none
- * @uncached_tokens: prompt tokens that the upstream must compute; 0 for a
+ * @uncached_tokens: prompt tokens that the upstream must prefill; 0 for a
  *     plain service
- * @max_tokens: most tokens of the answer
- * @is_batch: leave the reserved slots free (set for %PGW_PRIORITY_BATCH)
+ * @max_tokens: maximum tokens of the answer
+ * @is_batch: must not use the reserved slots; implied by %PGW_PRIORITY_BATCH
  * @state: read-only for the caller
- * @at: the gate's own
+ * @position: private
  *
  * Zero the struct before use.
  */
@@ -100,7 +100,7 @@
     uint32_t max_tokens;
     bool is_batch;
     enum pgw_admit_state state;
-    struct pgw_admit_place at;
+    struct pgw_admit_position position;
 };
 
 enum pgw_admit_verdict {
@@ -110,10 +110,10 @@
 };
 
 /**
- * struct pgw_admit_answer - what becomes of an offered item
- * @verdict: run now, wait for pgw_admit_next(), or refused and not kept
+ * struct pgw_admit_answer - decision on an offered item
+ * @verdict: run now, wait for pgw_admit_next(), or refused
  * @refusal: the reason, if refused
- * @retry_after_ms: when to come back, if refused
+ * @retry_after_ms: when to retry, if refused
  * @ttft_us: estimated time to first token
  */
 struct pgw_admit_answer {
@@ -124,9 +124,9 @@
 };
 
 /**
- * struct pgw_admit_load - what is at the gate
- * @running: requests handed to the upstream
- * @waiting: requests waiting here
+ * struct pgw_admit_load - current load
+ * @running: requests at the upstream
+ * @waiting: queued requests
  * @queued_tokens: uncached tokens waiting or in prefill
  * @prefill_tokens_per_s: learned rate
  * @step_us: learned time of a decode step
@@ -140,104 +140,107 @@
 };
 
 /**
- * pgw_admit_new() - make an empty gate
+ * pgw_admit_new() - create admission control for one upstream
  * @options: limits, NULL for the defaults
  */
 struct pgw_admit *pgw_admit_new(const struct pgw_admit_options *options);
 
-/* Items still at the gate are forgotten, not freed. */
+/* Does not free the items still in it. */
 void pgw_admit_free(struct pgw_admit *admit);
 
 /**
  * pgw_admit_offer() - decide on a new request
  * @out: receives the decision
- * @admit: the gate
- * @item: kept unless refused, until pgw_admit_done(), pgw_admit_remove() or
- *     pgw_admit_expire() gives it back
- * @now: microseconds
+ * @admit: admission control
+ * @item: used until pgw_admit_done(), pgw_admit_remove(), pgw_admit_expire()
+ *     or pgw_admit_drain() releases it; not used if refused
+ * @now_us: microseconds
  */
 void pgw_admit_offer(struct pgw_admit_answer *out, struct pgw_admit *admit,
-                     struct pgw_admit_item *item, uint64_t now);
+                     struct pgw_admit_item *item, uint64_t now_us);
 
 /**
- * pgw_admit_next() - take the next waiting request that may start
- * @admit: the gate
- * @now: microseconds
+ * pgw_admit_next() - start the next waiting request
+ * @admit: admission control
+ * @now_us: microseconds
  *
  * Call again until NULL, after each pgw_admit_offer(), pgw_admit_done(),
  * pgw_admit_first_token(), pgw_admit_remove() and from a timer.
  *
  * Return: an item, now counted as running, or NULL.
  */
-struct pgw_admit_item *pgw_admit_next(struct pgw_admit *admit, uint64_t now);
+struct pgw_admit_item *pgw_admit_next(struct pgw_admit *admit,
+                                      uint64_t now_us);
 
 /**
- * pgw_admit_correct() - the tokens to compute are known better by now
- * @admit: the gate
+ * pgw_admit_set_uncached_tokens() - correct the uncached tokens
+ * @admit: admission control
  * @item: waiting or running
  * @uncached_tokens: new count
  *
  * For a waiting item whose prefix has been cached meanwhile, and before
- * pgw_admit_first_token() with what the upstream's answer says, so that the
- * rate is learned from what was computed and not from what was expected.
+ * pgw_admit_first_token() with the count from the upstream's answer, so that
+ * the rate is learned from the tokens actually prefilled.
  */
-void pgw_admit_correct(struct pgw_admit *admit, struct pgw_admit_item *item,
-                       uint32_t uncached_tokens);
+void pgw_admit_set_uncached_tokens(struct pgw_admit *admit,
+                                   struct pgw_admit_item *item,
+                                   uint32_t uncached_tokens);
 
 /**
- * pgw_admit_first_token() - a running item's prefill is over
- * @admit: the gate
- * @item: a running item; a second call for it does nothing
- * @now: microseconds
+ * pgw_admit_first_token() - record the end of an item's prefill
+ * @admit: admission control
+ * @item: a running item; further calls for it do nothing
+ * @now_us: microseconds
  */
 void pgw_admit_first_token(struct pgw_admit *admit,
-                           struct pgw_admit_item *item, uint64_t now);
+                           struct pgw_admit_item *item, uint64_t now_us);
 
 /**
- * pgw_admit_done() - a running item has ended, whole or not
- * @admit: the gate
- * @item: a running item, given back
+ * pgw_admit_done() - record the end of an item, complete or not
+ * @admit: admission control
+ * @item: a running item, released
  * @completion_tokens: tokens of the answer, 0 if it failed
- * @now: microseconds
+ * @now_us: microseconds
  */
 void pgw_admit_done(struct pgw_admit *admit, struct pgw_admit_item *item,
-                    uint32_t completion_tokens, uint64_t now);
+                    uint32_t completion_tokens, uint64_t now_us);
 
 /**
- * pgw_admit_remove() - a caller went away
- * @admit: the gate
- * @item: waiting or running, given back; an idle one is left alone
- * @now: microseconds
+ * pgw_admit_remove() - remove an item whose caller disconnected
+ * @admit: admission control
+ * @item: waiting or running, released; an idle item is ignored
+ * @now_us: microseconds
  *
  * Return: true if it was still waiting, so that it certainly did not run.
  */
 bool pgw_admit_remove(struct pgw_admit *admit, struct pgw_admit_item *item,
-                      uint64_t now);
+                      uint64_t now_us);
 
 /**
- * pgw_admit_expire() - give back a waiting item whose deadline has passed
- * @admit: the gate
- * @now: microseconds
+ * pgw_admit_expire() - release a waiting item whose deadline has passed
+ * @admit: admission control
+ * @now_us: microseconds
  *
  * Call again until NULL. The item did not run.
  */
-struct pgw_admit_item *pgw_admit_expire(struct pgw_admit *admit, uint64_t now);
+struct pgw_admit_item *pgw_admit_expire(struct pgw_admit *admit,
+                                        uint64_t now_us);
 
 /**
- * pgw_admit_drain() - give back waiting items, whatever their deadline
- * @admit: the gate
+ * pgw_admit_drain() - release a waiting item, whatever its deadline
+ * @admit: admission control
  *
- * For an upstream that died or leaves. Call again until NULL.
+ * For an upstream that crashed or drains. Call again until NULL.
  */
 struct pgw_admit_item *pgw_admit_drain(struct pgw_admit *admit);
 
 /**
  * pgw_admit_estimate_us() - expected time to first token
- * @admit: the gate
+ * @admit: admission control
  * @workspace: pgw_level_workspace_hash() of the workspace
  * @share: its weight
- * @priority: the request's
- * @uncached_tokens: prompt tokens to compute
+ * @priority: priority of the request
+ * @uncached_tokens: prompt tokens to prefill
  *
  * Return: microseconds; O(1) in the number of workspaces and requests.
  */
@@ -247,9 +250,9 @@
                                uint32_t uncached_tokens);
 
 /**
- * pgw_admit_load_get() - read the gate's load
+ * pgw_admit_load_get() - read the current load
  * @out: receives it
- * @admit: the gate
+ * @admit: admission control
  */
 void pgw_admit_load_get(struct pgw_admit_load *out,
                         const struct pgw_admit *admit);
--- a/include/parsleygw/version.h
+++ b/include/parsleygw/version.h
@@ -11,56 +11,56 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Which weights version a request gets while a pool changes over
+ * DOC: Weights version of a request during a rollout
  *
- * Pure. The pool's object declares one version; while engines load it, others
- * still run the version before. A request is stamped with one version, goes
- * only to engines that run it, and so gets an answer of one version.
+ * Pure functions. The pool's object declares the target version; while engines
+ * load it, others still run an earlier version. Each request is assigned one
+ * version and sent only to engines that run it, so the answer comes from one
+ * version.
  *
- * Requests are divided by the share of engines that run each version, so that
- * all engines that can serve do. The division is by a hash of the request: in
- * all entries the same, and as engines change over a request that got the
- * new version never gets the old one again.
+ * Requests are split in proportion to the engines that run each version, so
+ * that all usable engines get requests. The split uses a hash of the request:
+ * it is the same in all entries, and as engines load the target version, a
+ * request that got it never gets an earlier version again.
  */
 
-/* Versions that one pool serves at a time, the declared one included. */
-#define PGW_VERSION_PARTS 3
+/* Versions that one pool serves at a time, including the target version. */
+#define PGW_VERSIONS_MAX 3
 
 /**
  * struct pgw_version_track - versions of a pool that requests may get
- * @declared: the version that the pool's object names
- * @earlier: versions declared before it, while engines may still run them
+ * @target: the version that the pool's object declares
+ * @earlier: previous target versions that engines may still run, latest first
  * @n_earlier: number of @earlier
- * @is_known: @earlier is complete; false in a process that began in the
- *   middle of a change and takes any version that engines run for an earlier
- *   one
+ * @is_complete: @earlier is complete; false in a process that started during
+ *   a rollout, which accepts any version that engines run as an earlier one
  *
- * Zeroed is a new one.
+ * A zeroed struct is valid and empty.
  */
 struct pgw_version_track {
-    char declared[PGW_CONFIG_NAME_MAX + 1];
-    char earlier[PGW_VERSION_PARTS - 1][PGW_CONFIG_NAME_MAX + 1];
+    char target[PGW_CONFIG_NAME_MAX + 1];
+    char earlier[PGW_VERSIONS_MAX - 1][PGW_CONFIG_NAME_MAX + 1];
     size_t n_earlier;
-    bool is_known;
+    bool is_complete;
 };
 
 /**
- * pgw_version_track_declare() - the pool's object names a version
- * @track: the pool's
- * @version: what it names now; the same as before changes nothing
+ * pgw_version_track_set_target() - update the target version
+ * @track: versions of the pool
+ * @version: version in the pool's object; no effect if it is unchanged
  */
-void pgw_version_track_declare(struct pgw_version_track *track,
-                               const char *version);
+void pgw_version_track_set_target(struct pgw_version_track *track,
+                                  const char *version);
 
 /**
- * pgw_version_track_observe() - look whether the change is over
- * @track: the pool's
+ * pgw_version_track_observe() - detect the end of a rollout
+ * @track: versions of the pool
  * @members: the pool's upstreams
  * @n: their number
  *
- * Once every upstream that works runs the declared version, no other one is
- * right any more: an engine that later starts with old weights gets no work
- * until it has loaded.
+ * Once every usable upstream runs the target version, earlier versions are no
+ * longer served: an engine that later starts with old weights gets no requests
+ * until it has loaded the target version.
  */
 void pgw_version_track_observe(struct pgw_version_track *track,
                                const struct pgw_member *members, size_t n);
@@ -68,7 +68,7 @@
 /**
  * struct pgw_version_part - engines of one version
  * @version: weights version
- * @engines: usable ones that run it
+ * @engines: usable engines that run it
  */
 struct pgw_version_part {
     char version[PGW_CONFIG_NAME_MAX + 1];
@@ -76,21 +76,21 @@
 };
 
 /**
- * struct pgw_version_split - how a pool's requests are divided
- * @parts: the declared version first, perhaps without engines
+ * struct pgw_version_split - how a pool's requests are split
+ * @parts: the target version first, even without engines
  * @n: number of @parts, at least 1
- * @engines: sum over all
+ * @engines: sum over all parts
  */
 struct pgw_version_split {
-    struct pgw_version_part parts[PGW_VERSION_PARTS];
+    struct pgw_version_part parts[PGW_VERSIONS_MAX];
     size_t n;
     size_t engines;
 };
 
 /**
- * pgw_version_split_init() - divide by what engines run
- * @out: receives the division
- * @track: the pool's
+ * pgw_version_split_init() - compute the split from the engines' versions
+ * @out: receives the split
+ * @track: versions of the pool
  * @members: the pool's upstreams
  * @n: their number
  */
@@ -99,9 +99,9 @@
                             const struct pgw_member *members, size_t n);
 
 /**
- * pgw_version_split_choose() - the version for a request
- * @split: the pool's
- * @hash: any even hash of the request that does not depend on the version
+ * pgw_version_split_choose() - choose the version for a request
+ * @split: split of the pool
+ * @hash: any uniform hash of the request that does not depend on the version
  *
  * Return: index of the part.
  */
@@ -109,51 +109,54 @@
                                 uint64_t hash);
 
 /**
- * struct pgw_version_tried - versions that had no place for a request
- * @names: each once
+ * struct pgw_version_tried - versions without capacity for a request
+ * @names: names, without duplicates
  * @n: number of @names
  *
- * Kept by name: engines change over while the request looks for one, so the
- * place of a version among the parts of a split means another version a
- * moment later. Zeroed is a new one.
+ * Stored by name: engines load other versions while the request searches for
+ * one, so the index of a part in a split can mean another version in the next
+ * split. A zeroed struct is valid and empty.
  */
 struct pgw_version_tried {
-    char names[PGW_VERSION_PARTS][PGW_CONFIG_NAME_MAX + 1];
+    char names[PGW_VERSIONS_MAX][PGW_CONFIG_NAME_MAX + 1];
     size_t n;
 };
 
 /**
- * pgw_version_tried_add() - nobody of that version takes the request
- * @tried: the request's
- * @version: what it was stamped with
+ * pgw_version_tried_add() - record that no engine of a version accepts the
+ * request
+ * @tried: versions tried for the request
+ * @version: version assigned to the request
  *
- * Return: false when as many were tried as a pool has, so that the search
- * ends although operators go on naming versions.
+ * Return: false when %PGW_VERSIONS_MAX versions were tried, so that the search
+ * ends even if operators keep declaring versions.
  */
 bool pgw_version_tried_add(struct pgw_version_tried *tried,
                            const char *version);
 
 /**
- * pgw_version_split_next() - the version to try now
- * @split: the pool's, as it is now
+ * pgw_version_split_next() - choose the next version to try
+ * @split: current split of the pool
  * @hash: as for pgw_version_split_choose()
- * @tried: versions that had no place for the request
+ * @tried: versions tried for the request
  *
- * The request's own share if it was not tried, else one that engines run.
+ * The version of pgw_version_split_choose() unless it was tried, else one that
+ * engines run, else any.
  *
- * Return: name within @split, or NULL when all were tried.
+ * Return: name, owned by @split, or NULL when all were tried.
  */
 const char *pgw_version_split_next(const struct pgw_version_split *split,
                                    uint64_t hash,
                                    const struct pgw_version_tried *tried);
 
 /**
- * pgw_version_can_run() - may a request of that version go to the upstream?
+ * pgw_version_can_run() - whether an upstream may get a request of a version
  * @member: the upstream
- * @version: the request's
+ * @version: version assigned to the request
  *
- * True also where nothing is known yet, so that a restarted entry ranks as it
- * did before; the sidecar refuses if the engine runs another version.
+ * Also true if the upstream's version is not known yet, so that a restarted
+ * entry ranks upstreams as before; the sidecar refuses the request if the
+ * engine runs another version.
  */
 bool pgw_version_can_run(const struct pgw_member *member, const char *version);
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -45,7 +45,7 @@
     char *name;
     struct pgw_version_track track;
     struct pgw_version_split split;
-    struct pgw_place_node *nodes[PGW_VERSION_PARTS];
+    struct pgw_place_node *nodes[PGW_VERSIONS_MAX];
     struct upstream **upstreams;
     size_t count;
 };
--- a/src/entry/pool.c
+++ b/src/entry/pool.c
@@ -5,7 +5,7 @@
 static void
 pool_clear(struct pool *pool)
 {
-    for (size_t i = 0; i < PGW_VERSION_PARTS; i++) {
+    for (size_t i = 0; i < PGW_VERSIONS_MAX; i++) {
         g_clear_pointer(&pool->nodes[i], g_free);
     }
     g_clear_pointer(&pool->upstreams, g_free);
@@ -66,8 +66,8 @@
     const struct pgw_pool *declared =
         pgw_config_pool(pgw_member_view_config(view), pool->name);
 
-    pgw_version_track_declare(&pool->track,
-                              declared == NULL ? "" : declared->version);
+    pgw_version_track_set_target(&pool->track,
+                                 declared == NULL ? "" : declared->version);
     pgw_version_track_observe(&pool->track, members, n);
     pgw_version_split_init(&pool->split, &pool->track, members, n);
     for (size_t i = 0; i < pool->split.n; i++) {
--- a/src/libparsleygw/admit.c
+++ b/src/libparsleygw/admit.c
@@ -6,7 +6,7 @@
 #define US_PER_MS 1000
 #define MAX_RETRY_AFTER_MS 60000
 
-/* However small its share, a workspace may have that many waiting. */
+/* Waiting requests that each workspace may have, however small its share. */
 #define MIN_WAITING_PER_FLOW 4
 
 struct pgw_admit {
@@ -16,7 +16,7 @@
     struct pgw_list expired;
     uint32_t running;
     uint32_t waiting;
-    uint64_t prefill_tokens; /* handed over, first token not come */
+    uint64_t prefill_tokens; /* of running requests without a first token */
     struct pgw_admit__rate rate;
 };
 
@@ -53,62 +53,62 @@
 }
 
 static struct pgw_fair_queue *
-queue_of(struct pgw_admit *admit, const struct pgw_admit_item *item)
+queue_for(struct pgw_admit *admit, const struct pgw_admit_item *item)
 {
     return &admit->queues[item->priority];
 }
 
 static bool
-is_past(const struct pgw_admit_item *item, uint64_t now)
+has_expired(const struct pgw_admit_item *item, uint64_t now_us)
 {
-    return item->deadline != 0 && item->deadline <= now;
+    return item->deadline != 0 && item->deadline <= now_us;
 }
 
 static void
-stop_waiting(struct pgw_admit *admit, struct pgw_admit_item *item)
+dequeue(struct pgw_admit *admit, struct pgw_admit_item *item)
 {
-    pgw_heap__remove(&admit->deadlines, &item->at.deadline);
-    if (item->at.flow != NULL) {
-        pgw_fair_queue__remove(queue_of(admit, item), item);
+    pgw_heap__remove(&admit->deadlines, &item->position.deadline);
+    if (item->position.flow != NULL) {
+        pgw_fair_queue__remove(queue_for(admit, item), item);
         admit->waiting--;
     }
     else {
-        pgw_list_remove(&item->at.queue);
+        pgw_list_remove(&item->position.queue);
     }
 }
 
 /*
- * A request that starts after its deadline takes the place of one that could
- * still be in time, and under overload each next one is late, too. So what
- * has passed leaves the queues before anything is picked from them.
+ * A request that starts after its deadline takes a slot from one that could
+ * still meet its deadline, and under overload every following request is late,
+ * too. So expired items leave the queues before an item is selected.
  */
 static void
-set_expired_aside(struct pgw_admit *admit, uint64_t now)
+collect_expired(struct pgw_admit *admit, uint64_t now_us)
 {
 #ifndef PGW_DISABLE_ADMIT_DEADLINE
     struct pgw_heap_node *node;
 
     while ((node = pgw_heap__first(&admit->deadlines)) != NULL) {
         struct pgw_admit_item *item =
-            pgw_container_of(node, struct pgw_admit_item, at.deadline);
+            pgw_container_of(node, struct pgw_admit_item, position.deadline);
 
-        if (!is_past(item, now)) {
+        if (!has_expired(item, now_us)) {
             break;
         }
-        stop_waiting(admit, item);
-        pgw_list_append(&admit->expired, &item->at.queue);
+        dequeue(admit, item);
+        pgw_list_append(&admit->expired, &item->position.queue);
     }
 #else
     (void)admit;
-    (void)now;
-    (void)is_past;
+    (void)now_us;
+    (void)has_expired;
 #endif
 }
 
-/* Whether the upstream has room. Urgent work is not held back by the prefill
- * bound: the upstream itself takes it first. */
+/* The prefill limit does not apply to urgent requests: the upstream itself
+ * runs them first. */
 static bool
-has_room(const struct pgw_admit *admit, const struct pgw_admit_item *item)
+has_capacity(const struct pgw_admit *admit, const struct pgw_admit_item *item)
 {
     const struct pgw_admit_options *options = &admit->options;
     uint32_t slots = options->max_running;
@@ -126,42 +126,42 @@
 }
 
 /*
- * Strict priorities alone starve batch work for ever while others keep the
- * upstream full: the overnight run would never complete. So a priority that
- * has waited starve_us without a start gets one, whatever waits above it;
- * what this costs the others is one request in that time.
+ * Strict priorities alone starve batch work for as long as other requests keep
+ * the upstream full, so that an overnight batch never completes. So a priority
+ * that has waited starvation_us without a start gets one start, whatever waits
+ * at higher priorities. The cost to the others is one request in that time.
  */
 static struct pgw_admit_item *
-starved_item(struct pgw_admit *admit, uint64_t now)
+starved_item(struct pgw_admit *admit, uint64_t now_us)
 {
 #ifndef PGW_DISABLE_ADMIT_STARVE
     for (int i = PGW_PRIORITY_COUNT - 1; i > 0; i--) {
         const struct pgw_fair_queue *queue = &admit->queues[i];
 
         if (queue->count > 0 &&
-            now >= queue->last_start + admit->options.starve_us &&
+            now_us >= queue->last_start_us + admit->options.starvation_us &&
             admit->running < admit->options.max_running) {
             return pgw_fair_queue__first(queue);
         }
     }
 #else
     (void)admit;
-    (void)now;
+    (void)now_us;
 #endif
     return NULL;
 }
 
-/* The item to start now, left where it is, or NULL. A first item that finds
- * no room holds back the lower priorities, or small ones would pass it for
- * ever. */
+/* Returns the item to start now without removing it, or NULL. If the first
+ * item does not fit, lower priorities wait, too: otherwise smaller requests
+ * could overtake it indefinitely. */
 static struct pgw_admit_item *
-pick(struct pgw_admit *admit, uint64_t now)
+select_next(struct pgw_admit *admit, uint64_t now_us)
 {
-    struct pgw_admit_item *item = starved_item(admit, now);
+    struct pgw_admit_item *item = starved_item(admit, now_us);
 
     for (int i = 0; i < PGW_PRIORITY_COUNT && item == NULL; i++) {
         item = pgw_fair_queue__first(&admit->queues[i]);
-        if (item != NULL && !has_room(admit, item)) {
+        if (item != NULL && !has_capacity(admit, item)) {
             return NULL;
         }
     }
@@ -169,36 +169,36 @@
 }
 
 static void
-start(struct pgw_admit *admit, struct pgw_admit_item *item, uint64_t now)
+start_item(struct pgw_admit *admit, struct pgw_admit_item *item,
+           uint64_t now_us)
 {
-    struct pgw_fair_queue *queue = queue_of(admit, item);
+    struct pgw_fair_queue *queue = queue_for(admit, item);
     double cost =
         pgw_admit__rate_cost_us(&admit->rate, item->uncached_tokens,
                                 item->max_tokens, admit->options.max_running);
 
-    pgw_heap__remove(&admit->deadlines, &item->at.deadline);
+    pgw_heap__remove(&admit->deadlines, &item->position.deadline);
     pgw_fair_queue__serve(queue, item, cost);
-    queue->last_start = now;
+    queue->last_start_us = now_us;
     admit->waiting--;
     admit->running++;
     admit->prefill_tokens += item->uncached_tokens;
     item->state = PGW_ADMIT_PREFILL;
-    item->at.started = now;
-    item->at.since = now;
+    item->position.started_us = now_us;
+    item->position.since_us = now_us;
 }
 
 static void
-wait_in_queue(struct pgw_admit *admit, struct pgw_admit_item *item,
-              uint64_t now)
+enqueue(struct pgw_admit *admit, struct pgw_admit_item *item, uint64_t now_us)
 {
-    struct pgw_fair_queue *queue = queue_of(admit, item);
+    struct pgw_fair_queue *queue = queue_for(admit, item);
 
     if (queue->count == 0) {
-        queue->last_start = now;
+        queue->last_start_us = now_us;
     }
     pgw_fair_queue__push(queue, item);
     if (item->deadline != 0) {
-        pgw_heap__push(&admit->deadlines, &item->at.deadline,
+        pgw_heap__push(&admit->deadlines, &item->position.deadline,
                        (double)item->deadline);
     }
     admit->waiting++;
@@ -206,9 +206,10 @@
 }
 
 /*
- * One workspace could otherwise fill the queue and have all others refused.
- * Each gets the part that its share gives it among those that wait now, and a
- * few whatever its share; twice the limit bounds memory.
+ * Otherwise one workspace could fill the queue, and all others would be
+ * refused. Each workspace gets a part of the queue by its share among the
+ * workspaces that wait now, and at least MIN_WAITING_PER_FLOW. Twice the limit
+ * bounds the memory.
  */
 static bool
 queue_is_full(const struct pgw_admit *admit, const struct pgw_admit_item *item)
@@ -233,31 +234,33 @@
 static void
 refuse(struct pgw_admit_answer *out, enum pgw_refusal refusal)
 {
-    uint64_t after = MIN(out->ttft_us / US_PER_MS + 1, MAX_RETRY_AFTER_MS);
+    uint64_t retry_ms = MIN(out->ttft_us / US_PER_MS + 1, MAX_RETRY_AFTER_MS);
 
     out->verdict = PGW_ADMIT_REFUSE;
     out->refusal = refusal;
-    out->retry_after_ms = (uint32_t)after;
+    out->retry_after_ms = (uint32_t)retry_ms;
 }
 
 void
 pgw_admit_offer(struct pgw_admit_answer *out, struct pgw_admit *admit,
-                struct pgw_admit_item *item, uint64_t now)
+                struct pgw_admit_item *item, uint64_t now_us)
 {
-    bool idle = admit->running == 0 && admit->waiting == 0;
+    bool is_idle = admit->running == 0 && admit->waiting == 0;
 
     item->priority = CLAMP((int)item->priority, 0, PGW_PRIORITY_COUNT - 1);
-    item->at = (struct pgw_admit_place){.since = now};
+    item->position = (struct pgw_admit_position){.since_us = now_us};
     *out = (struct pgw_admit_answer){
         .verdict = PGW_ADMIT_QUEUE,
         .ttft_us =
             pgw_admit_estimate_us(admit, item->workspace, item->share,
                                   item->priority, item->uncached_tokens),
     };
-    /* An idle upstream takes everything that is not past: otherwise a rate
-     * learned too low would refuse all, and never be corrected. */
-    if (is_past(item, now) || (item->deadline != 0 && !idle &&
-                               now + out->ttft_us > item->deadline)) {
+    /* An idle upstream accepts every request that has not expired: otherwise
+     * a learned rate that is too low would refuse all requests and never be
+     * corrected. */
+    if (has_expired(item, now_us) ||
+        (item->deadline != 0 && !is_idle &&
+         now_us + out->ttft_us > item->deadline)) {
         refuse(out, PGW_REFUSAL_DEADLINE);
         return;
     }
@@ -265,33 +268,35 @@
         refuse(out, PGW_REFUSAL_OVERLOADED);
         return;
     }
-    set_expired_aside(admit, now);
-    wait_in_queue(admit, item, now);
-    if (pick(admit, now) == item) {
-        start(admit, item, now);
+    collect_expired(admit, now_us);
+    enqueue(admit, item, now_us);
+    if (select_next(admit, now_us) == item) {
+        start_item(admit, item, now_us);
         out->verdict = PGW_ADMIT_RUN;
     }
 }
 
 struct pgw_admit_item *
-pgw_admit_next(struct pgw_admit *admit, uint64_t now)
+pgw_admit_next(struct pgw_admit *admit, uint64_t now_us)
 {
     struct pgw_admit_item *item;
 
-    set_expired_aside(admit, now);
-    item = pick(admit, now);
+    collect_expired(admit, now_us);
+    item = select_next(admit, now_us);
     if (item != NULL) {
-        start(admit, item, now);
+        start_item(admit, item, now_us);
     }
     return item;
 }
 
 void
-pgw_admit_correct(struct pgw_admit *admit, struct pgw_admit_item *item,
-                  uint32_t uncached_tokens)
+pgw_admit_set_uncached_tokens(struct pgw_admit *admit,
+                              struct pgw_admit_item *item,
+                              uint32_t uncached_tokens)
 {
-    if (item->state == PGW_ADMIT_WAITING && item->at.flow != NULL) {
-        pgw_fair_queue__correct(queue_of(admit, item), item, uncached_tokens);
+    if (item->state == PGW_ADMIT_WAITING && item->position.flow != NULL) {
+        pgw_fair_queue__set_uncached_tokens(queue_for(admit, item), item,
+                                            uncached_tokens);
         return;
     }
     if (item->state == PGW_ADMIT_PREFILL) {
@@ -303,16 +308,16 @@
 
 void
 pgw_admit_first_token(struct pgw_admit *admit, struct pgw_admit_item *item,
-                      uint64_t now)
+                      uint64_t now_us)
 {
     if (item->state != PGW_ADMIT_PREFILL) {
         return;
     }
-    pgw_admit__rate_prefill(&admit->rate, item->uncached_tokens,
-                            item->at.since, now);
+    pgw_admit__rate_add_prefill(&admit->rate, item->uncached_tokens,
+                                item->position.since_us, now_us);
     admit->prefill_tokens -= item->uncached_tokens;
     item->state = PGW_ADMIT_DECODE;
-    item->at.since = now;
+    item->position.since_us = now_us;
 }
 
 static void
@@ -333,26 +338,27 @@
 
 void
 pgw_admit_done(struct pgw_admit *admit, struct pgw_admit_item *item,
-               uint32_t completion_tokens, uint64_t now)
+               uint32_t completion_tokens, uint64_t now_us)
 {
     if (!is_running(item)) {
         return;
     }
     if (completion_tokens > 0) {
-        uint64_t decode =
-            item->state == PGW_ADMIT_DECODE ? now - item->at.since : 0;
+        uint64_t decode_us = item->state == PGW_ADMIT_DECODE
+                                 ? now_us - item->position.since_us
+                                 : 0;
 
-        pgw_admit__rate_done(&admit->rate, completion_tokens, decode,
-                             now - item->at.started);
+        pgw_admit__rate_add_run(&admit->rate, completion_tokens, decode_us,
+                                now_us - item->position.started_us);
     }
     stop_running(admit, item);
 }
 
 bool
 pgw_admit_remove(struct pgw_admit *admit, struct pgw_admit_item *item,
-                 uint64_t now)
+                 uint64_t now_us)
 {
-    (void)now;
+    (void)now_us;
     if (is_running(item)) {
         stop_running(admit, item);
         return false;
@@ -360,23 +366,23 @@
     if (item->state != PGW_ADMIT_WAITING) {
         return false;
     }
-    stop_waiting(admit, item);
+    dequeue(admit, item);
     item->state = PGW_ADMIT_IDLE;
     return true;
 }
 
 struct pgw_admit_item *
-pgw_admit_expire(struct pgw_admit *admit, uint64_t now)
+pgw_admit_expire(struct pgw_admit *admit, uint64_t now_us)
 {
     struct pgw_list *link;
     struct pgw_admit_item *item;
 
-    set_expired_aside(admit, now);
+    collect_expired(admit, now_us);
     link = pgw_list_first(&admit->expired);
     if (link == NULL) {
         return NULL;
     }
-    item = pgw_container_of(link, struct pgw_admit_item, at.queue);
+    item = pgw_container_of(link, struct pgw_admit_item, position.queue);
     pgw_list_remove(link);
     item->state = PGW_ADMIT_IDLE;
     return item;
@@ -390,16 +396,16 @@
     for (int i = 0; i < PGW_PRIORITY_COUNT && item == NULL; i++) {
         item = pgw_fair_queue__first(&admit->queues[i]);
         if (item != NULL) {
-            stop_waiting(admit, item);
+            dequeue(admit, item);
             item->state = PGW_ADMIT_IDLE;
         }
     }
     return item;
 }
 
-/* Uncached tokens that will be served before a new request. Fair queueing
- * lets each other workspace have its share's part of what this one has
- * waiting, and no more than it has itself. */
+/* Uncached tokens that will be served before a new request. While this
+ * workspace's own tokens are served, fair queueing serves the other workspaces
+ * in proportion to their shares, up to the tokens that they have waiting. */
 static double
 tokens_ahead(const struct pgw_admit *admit, uint64_t workspace, uint32_t share,
              enum pgw_priority priority, uint32_t uncached_tokens)
@@ -430,18 +436,18 @@
         tokens_ahead(admit, workspace, share, priority, uncached_tokens) +
         uncached_tokens;
     double slots_us = 0.0;
-    uint32_t before = 0;
+    uint32_t queued = 0;
 
     for (int i = 0; i <= (int)priority; i++) {
-        before += admit->queues[i].count;
+        queued += admit->queues[i].count;
     }
-    if (admit->running + before >= admit->options.max_running) {
-        double late =
-            admit->running + before + 1.0 - admit->options.max_running;
+    if (admit->running + queued >= admit->options.max_running) {
+        double excess =
+            admit->running + queued + 1.0 - admit->options.max_running;
 
-        slots_us = late * admit->rate.run_us / admit->options.max_running;
+        slots_us = excess * admit->rate.run_us / admit->options.max_running;
     }
-    /* Waiting for slots and for prefill overlap. */
+    /* The waits for a slot and for prefill overlap. */
     return (uint64_t)(MAX(slots_us,
                           pgw_admit__rate_prefill_us(&admit->rate, tokens)) +
                       (uncached_tokens > 0 ? admit->rate.step_us : 0.0));
--- a/src/libparsleygw/admit_rate.h
+++ b/src/libparsleygw/admit_rate.h
@@ -7,37 +7,38 @@
 G_BEGIN_DECLS
 
 /**
- * struct pgw_admit__rate - what an upstream's speed is learned to be
+ * struct pgw_admit__rate - learned speed of an upstream
  * @prefill_tokens_per_s: moving average
  * @step_us: moving average of a decode step
  * @run_us: moving average of a whole run
- * @first_prefill: first guess, bounds the learned rate
- * @last_first_token: when a prefill ended last
+ * @initial_prefill_tokens_per_s: initial estimate, bounds the learned
+ *     rate
+ * @last_first_token_us: when the latest prefill ended
  */
 struct pgw_admit__rate {
     double prefill_tokens_per_s;
     double step_us;
     double run_us;
-    double first_prefill;
-    uint64_t last_first_token;
+    double initial_prefill_tokens_per_s;
+    uint64_t last_first_token_us;
 };
 
 void pgw_admit__rate_init(struct pgw_admit__rate *rate,
                           double prefill_tokens_per_s, double step_us);
 
-/* A prefill of @tokens that was handed over at @started ended at @now. */
-void pgw_admit__rate_prefill(struct pgw_admit__rate *rate, uint32_t tokens,
-                             uint64_t started, uint64_t now);
+/* Adds the sample of a prefill of @tokens from @started_us to @now_us. */
+void pgw_admit__rate_add_prefill(struct pgw_admit__rate *rate, uint32_t tokens,
+                                 uint64_t started_us, uint64_t now_us);
 
-/* A run of @run_us ended that decoded @tokens tokens in @decode_us. */
-void pgw_admit__rate_done(struct pgw_admit__rate *rate, uint32_t tokens,
-                          uint64_t decode_us, uint64_t run_us);
+/* Adds the sample of a run of @run_us that decoded @tokens in @decode_us. */
+void pgw_admit__rate_add_run(struct pgw_admit__rate *rate, uint32_t tokens,
+                             uint64_t decode_us, uint64_t run_us);
 
 double pgw_admit__rate_prefill_us(const struct pgw_admit__rate *rate,
                                   double tokens);
 
-/* What a request takes from the upstream, in microseconds: its prefill and
- * its part of the decode steps. At least 1. */
+/* Time that a request uses at the upstream, in microseconds: its prefill and
+ * its part of the batched decode steps. At least 1. */
 double pgw_admit__rate_cost_us(const struct pgw_admit__rate *rate,
                                uint32_t uncached_tokens, uint32_t max_tokens,
                                uint32_t batch);
--- a/src/libparsleygw/fair_queue.c
+++ b/src/libparsleygw/fair_queue.c
@@ -1,8 +1,8 @@
 #include "libparsleygw/fair_queue.h"
 
-/* Idle flows looked at for each request served: more than one request can
- * add, so that the forgotten ones do not pile up. */
-#define SWEEP_STEPS 2
+/* Idle flows checked per served request. A request adds at most one, so that
+ * idle flows do not accumulate. */
+#define IDLE_FLOWS_PER_REQUEST 2
 
 void
 pgw_fair_queue__init(struct pgw_fair_queue *queue)
@@ -51,7 +51,8 @@
 static struct pgw_admit_item *
 first_item(struct pgw_admit_flow *flow)
 {
-    return pgw_container_of(flow->items.next, struct pgw_admit_item, at.queue);
+    return pgw_container_of(flow->items.next, struct pgw_admit_item,
+                            position.queue);
 }
 
 void
@@ -72,8 +73,8 @@
         queue->shares = queue->shares - flow->share + share;
         flow->share = share;
     }
-    item->at.flow = flow;
-    pgw_list_append(&flow->items, &item->at.queue);
+    item->position.flow = flow;
+    pgw_list_append(&flow->items, &item->position.queue);
     flow->count++;
     flow->tokens += item->uncached_tokens;
     queue->count++;
@@ -92,11 +93,12 @@
 }
 
 /* A flow whose start time has passed would start at the virtual time like a
- * new one: it need not be remembered. */
+ * new flow, so it can be removed. */
 static void
-sweep_idle(struct pgw_fair_queue *queue)
+remove_idle_flows(struct pgw_fair_queue *queue)
 {
-    for (int i = 0; i < SWEEP_STEPS && !pgw_list_is_empty(&queue->idle); i++) {
+    for (int i = 0;
+         i < IDLE_FLOWS_PER_REQUEST && !pgw_list_is_empty(&queue->idle); i++) {
         struct pgw_admit_flow *flow =
             pgw_container_of(queue->idle.next, struct pgw_admit_flow, items);
 
@@ -111,26 +113,27 @@
 }
 
 /*
- * Start times only order those that wait at the same time. Kept beyond, they
- * grow with every workspace that ever called: with requests far apart the
- * virtual time stands still, and the sweep finds nothing to forget. When
- * nothing waits any more the virtual time may pass all of them (the end of a
- * busy period in the paper), and then each would start like a new one.
+ * Start times only order flows that wait at the same time. If idle flows were
+ * kept longer, their number would grow with every workspace that ever sent a
+ * request: with requests far apart the virtual time does not advance, and
+ * remove_idle_flows() finds nothing to remove. When the queue is empty the
+ * virtual time may pass all start times (the end of a busy period in the
+ * paper), and then each flow would start like a new one.
  */
 static void
-forget_flows(struct pgw_fair_queue *queue)
+remove_all_flows(struct pgw_fair_queue *queue)
 {
     pgw_list_init(&queue->idle);
     g_hash_table_remove_all(queue->flows);
 }
 
 static void
-take_out(struct pgw_fair_queue *queue, struct pgw_admit_item *item)
+unlink_item(struct pgw_fair_queue *queue, struct pgw_admit_item *item)
 {
-    struct pgw_admit_flow *flow = item->at.flow;
+    struct pgw_admit_flow *flow = item->position.flow;
 
-    pgw_list_remove(&item->at.queue);
-    item->at.flow = NULL;
+    pgw_list_remove(&item->position.queue);
+    item->position.flow = NULL;
     flow->count--;
     flow->tokens -= item->uncached_tokens;
     queue->count--;
@@ -146,17 +149,18 @@
 pgw_fair_queue__remove(struct pgw_fair_queue *queue,
                        struct pgw_admit_item *item)
 {
-    take_out(queue, item);
+    unlink_item(queue, item);
     if (queue->count == 0) {
-        forget_flows(queue);
+        remove_all_flows(queue);
     }
 }
 
 void
-pgw_fair_queue__correct(struct pgw_fair_queue *queue,
-                        struct pgw_admit_item *item, uint32_t uncached_tokens)
+pgw_fair_queue__set_uncached_tokens(struct pgw_fair_queue *queue,
+                                    struct pgw_admit_item *item,
+                                    uint32_t uncached_tokens)
 {
-    struct pgw_admit_flow *flow = item->at.flow;
+    struct pgw_admit_flow *flow = item->position.flow;
 
     flow->tokens = flow->tokens - item->uncached_tokens + uncached_tokens;
     queue->tokens = queue->tokens - item->uncached_tokens + uncached_tokens;
@@ -167,7 +171,7 @@
 pgw_fair_queue__serve(struct pgw_fair_queue *queue,
                       struct pgw_admit_item *item, double cost)
 {
-    struct pgw_admit_flow *flow = item->at.flow;
+    struct pgw_admit_flow *flow = item->position.flow;
 
     queue->virtual_time = MAX(queue->virtual_time, flow->start.key);
     pgw_heap__remove(&queue->active, &flow->start);
@@ -176,13 +180,13 @@
 #else
     (void)cost;
 #endif
-    take_out(queue, item);
+    unlink_item(queue, item);
     if (queue->count == 0) {
-        forget_flows(queue);
+        remove_all_flows(queue);
         return;
     }
     if (flow->count > 0) {
         pgw_heap__push(&queue->active, &flow->start, flow->start.key);
     }
-    sweep_idle(queue);
+    remove_idle_flows(queue);
 }
--- a/src/libparsleygw/fair_queue.h
+++ b/src/libparsleygw/fair_queue.h
@@ -12,22 +12,23 @@
  *
  * Goyal, Vin, Cheng, "Start-time fair queueing", SIGCOMM 1996. Each workspace
  * has a virtual start time, which grows by cost / share with each of its
- * requests served; the least is served next. A workspace that comes back
- * starts at the queue's virtual time, so idling saves up nothing. Over any
- * time in which two workspaces both wait, their services divided by share
- * differ by at most one request of each. Nothing is remembered beyond the
- * moment at which nothing waits.
+ * requests served; the lowest is served next. A workspace that becomes active
+ * again starts at the queue's virtual time, so an idle time earns no credit.
+ * Over any time in which two workspaces both wait, their service divided by
+ * share differs by at most one request of each. An empty queue keeps no
+ * state.
  */
 
 /**
  * struct pgw_admit_flow - one workspace's waiting requests
  * @workspace: pgw_level_workspace_hash(); first, as the hash table's key
  * @share: weight, from its latest request
- * @count: requests that wait
- * @tokens: their uncached tokens
- * @start: link in the heap while any waits; its key is the virtual start time
- *     of the next request, also while none does
- * @items: waiting, oldest first; with none the link among the idle flows
+ * @count: waiting requests
+ * @tokens: uncached tokens of the waiting requests
+ * @start: link in the heap while a request waits; its key is the virtual start
+ *     time of the next request, also while none waits
+ * @items: waiting requests, oldest first; the link among the idle flows if
+ *     there are none
  */
 struct pgw_admit_flow {
     gint64 workspace;
@@ -42,13 +43,14 @@
  * struct pgw_fair_queue - the waiting requests of one priority
  * @flows: by workspace
  * @active: flows with items, by virtual start time
- * @idle: flows without items that are remembered for their start time, as
- *     long as others wait
+ * @idle: flows without items, kept for their start time while other flows
+ *     have items
  * @virtual_time: virtual start time of the request served last
  * @count: waiting requests
- * @tokens: their uncached tokens
+ * @tokens: uncached tokens of the waiting requests
  * @shares: sum over the active flows
- * @last_start: when one was served last, or when waiting began
+ * @last_start_us: when a request was last started, or when the queue last
+ *     became non-empty
  */
 struct pgw_fair_queue {
     GHashTable *flows;
@@ -58,34 +60,34 @@
     uint32_t count;
     uint64_t tokens;
     uint64_t shares;
-    uint64_t last_start;
+    uint64_t last_start_us;
 };
 
 void pgw_fair_queue__init(struct pgw_fair_queue *queue);
 
 void pgw_fair_queue__dispose(struct pgw_fair_queue *queue);
 
-/* NULL for a workspace that neither waits nor is remembered. */
+/* Returns NULL for a workspace without a flow. */
 const struct pgw_admit_flow *
 pgw_fair_queue__find(const struct pgw_fair_queue *queue, uint64_t workspace);
 
 void pgw_fair_queue__push(struct pgw_fair_queue *queue,
                           struct pgw_admit_item *item);
 
-/* Returns the item to serve next and leaves it there; NULL if none waits. */
+/* Returns the next item without removing it; NULL if the queue is empty. */
 struct pgw_admit_item *
 pgw_fair_queue__first(const struct pgw_fair_queue *queue);
 
-/* Takes out the first item, charged with @cost. */
+/* Removes the first item and charges @cost to its flow. */
 void pgw_fair_queue__serve(struct pgw_fair_queue *queue,
                            struct pgw_admit_item *item, double cost);
 
 /* Changes the uncached tokens of a waiting item. */
-void pgw_fair_queue__correct(struct pgw_fair_queue *queue,
-                             struct pgw_admit_item *item,
-                             uint32_t uncached_tokens);
+void pgw_fair_queue__set_uncached_tokens(struct pgw_fair_queue *queue,
+                                         struct pgw_admit_item *item,
+                                         uint32_t uncached_tokens);
 
-/* Takes out any item, uncharged. */
+/* Removes any item without a charge. */
 void pgw_fair_queue__remove(struct pgw_fair_queue *queue,
                             struct pgw_admit_item *item);
 
--- a/src/libparsleygw/version.c
+++ b/src/libparsleygw/version.c
@@ -10,7 +10,7 @@
             return true;
         }
     }
-    return !track->is_known;
+    return !track->is_complete;
 }
 
 static void
@@ -20,20 +20,20 @@
         (track->n_earlier > 0 && strcmp(track->earlier[0], version) == 0)) {
         return;
     }
-    /* The latest first; with more changes than room the oldest is dropped. */
+    /* Latest first; the oldest is dropped when the array is full. */
     memmove(track->earlier[1], track->earlier[0],
             sizeof(track->earlier) - sizeof(track->earlier[0]));
     g_strlcpy(track->earlier[0], version, sizeof(track->earlier[0]));
-    track->n_earlier =
-        MIN(track->n_earlier + 1, (size_t)PGW_VERSION_PARTS - 1);
+    track->n_earlier = MIN(track->n_earlier + 1, (size_t)PGW_VERSIONS_MAX - 1);
 }
 
 void
-pgw_version_track_declare(struct pgw_version_track *track, const char *version)
+pgw_version_track_set_target(struct pgw_version_track *track,
+                             const char *version)
 {
-    if (strcmp(track->declared, version) != 0) {
-        add_earlier(track, track->declared);
-        g_strlcpy(track->declared, version, sizeof(track->declared));
+    if (strcmp(track->target, version) != 0) {
+        add_earlier(track, track->target);
+        g_strlcpy(track->target, version, sizeof(track->target));
     }
 }
 
@@ -41,20 +41,20 @@
 pgw_version_track_observe(struct pgw_version_track *track,
                           const struct pgw_member *members, size_t n)
 {
-    bool any = false;
+    bool has_usable = false;
 
     for (size_t i = 0; i < n; i++) {
         if (members[i].state != PGW_MEMBER_USABLE) {
             continue;
         }
-        if (strcmp(members[i].weights, track->declared) != 0) {
+        if (strcmp(members[i].weights, track->target) != 0) {
             return;
         }
-        any = true;
+        has_usable = true;
     }
-    if (any) {
+    if (has_usable) {
         track->n_earlier = 0;
-        track->is_known = true;
+        track->is_complete = true;
     }
 }
 
@@ -74,7 +74,7 @@
 {
     struct pgw_version_part *part;
 
-    if (split->n == PGW_VERSION_PARTS) {
+    if (split->n == PGW_VERSIONS_MAX) {
         return NULL;
     }
     part = &split->parts[split->n++];
@@ -88,7 +88,7 @@
                        const struct pgw_member *members, size_t n)
 {
     memset(out, 0, sizeof(*out));
-    add_part(out, track->declared);
+    add_part(out, track->target);
     for (size_t i = 0; i < n; i++) {
         const struct pgw_member *member = &members[i];
         struct pgw_version_part *part;
@@ -140,7 +140,7 @@
     if (was_tried(tried, version)) {
         return true;
     }
-    if (tried->n == PGW_VERSION_PARTS) {
+    if (tried->n == PGW_VERSIONS_MAX) {
         return false;
     }
     g_strlcpy(tried->names[tried->n], version, sizeof(tried->names[0]));
@@ -152,12 +152,12 @@
 pgw_version_split_next(const struct pgw_version_split *split, uint64_t hash,
                        const struct pgw_version_tried *tried)
 {
-    const char *own =
+    const char *preferred =
         split->parts[pgw_version_split_choose(split, hash)].version;
-    const char *idle = NULL;
+    const char *without_engines = NULL;
 
-    if (!was_tried(tried, own)) {
-        return own;
+    if (!was_tried(tried, preferred)) {
+        return preferred;
     }
     for (size_t i = 0; i < split->n; i++) {
         const struct pgw_version_part *part = &split->parts[i];
@@ -168,9 +168,9 @@
         if (part->engines > 0) {
             return part->version;
         }
-        idle = part->version;
+        without_engines = part->version;
     }
-    return idle;
+    return without_engines;
 }
 
 bool
--- a/src/sidecar/model_call.c
+++ b/src/sidecar/model_call.c
@@ -112,9 +112,9 @@
         run->cached_tokens =
             (uint32_t)fetch_object_uint(usage, "cached_tokens");
     }
-    pgw_admit_correct(sidecar->admit, &run->item,
-                      run->prompt_tokens -
-                          MIN(run->prompt_tokens, run->cached_tokens));
+    pgw_admit_set_uncached_tokens(
+        sidecar->admit, &run->item,
+        run->prompt_tokens - MIN(run->prompt_tokens, run->cached_tokens));
     pgw_admit_first_token(sidecar->admit, &run->item, pgw_now_us());
     /* The engine has room for the next prefill; waiting for the gate's own
      * tick would leave it idle in the meantime. */
--- a/tests/property/prop_admit.cc
+++ b/tests/property/prop_admit.cc
@@ -35,7 +35,7 @@
     return item;
 }
 
-struct Gate {
+struct Admission {
     pgw_admit_options options = PGW_ADMIT_OPTIONS_INIT;
     pgw_admit *admit;
     std::list<Request> requests;
@@ -44,32 +44,32 @@
     uint64_t now = 1000;
     std::map<int, uint64_t> last_start;
 
-    Gate()
+    Admission()
     {
         options.max_running = *rc::gen::inRange<uint32_t>(1, 12);
         options.reserved = *rc::gen::inRange<uint32_t>(0, 4);
         options.max_waiting = 64;
-        options.starve_us = *rc::gen::inRange<uint64_t>(100000, 2000000);
+        options.starvation_us = *rc::gen::inRange<uint64_t>(100000, 2000000);
         admit = pgw_admit_new(&options);
     }
 
-    ~Gate() { pgw_admit_free(admit); }
+    ~Admission() { pgw_admit_free(admit); }
 
     void
     started(Request *request)
     {
         const auto &item = request->item;
 
-        /* Never past its deadline, never more than the upstream takes. */
+        /* Never after its deadline, never above the concurrency limit. */
         RC_ASSERT(item.deadline == 0 || item.deadline > now);
         RC_ASSERT(running.size() < options.max_running);
-        /* Strictly by priority, but for one start of a lower one after it has
-         * waited so long. */
+        /* Strictly by priority, except for one start of a lower priority that
+         * has waited starvation_us. */
         for (const Request *other : waiting) {
             if (other->item.priority < item.priority &&
                 (other->item.deadline == 0 || other->item.deadline > now)) {
                 RC_ASSERT(now >= last_start[item.priority] +
-                                     options.starve_us);
+                                     options.starvation_us);
             }
         }
         last_start[item.priority] = now;
@@ -149,7 +149,7 @@
         RC_ASSERT(load.waiting <= waiting.size());
         uint64_t tokens = 0;
         for (const Request *one : waiting) {
-            tokens += one->item.at.flow ? one->item.uncached_tokens : 0;
+            tokens += one->item.position.flow ? one->item.uncached_tokens : 0;
         }
         for (const Request *one : running) {
             tokens += one->item.uncached_tokens;
@@ -158,59 +158,62 @@
     }
 };
 
-/* Random histories: nothing starts late, out of priority or beyond the
- * limits; each request is given back exactly once; all of them end. */
+/* Random histories: no request starts after its deadline, out of priority or
+ * beyond the limits; each is released exactly once; all end. */
 static void
 random_histories_hold()
 {
-    Gate gate;
+    Admission admission;
     int steps = *rc::gen::inRange(1, 200);
 
     for (int i = 0; i < steps; i++) {
         int kind = *rc::gen::inRange(0, 11);
 
-        gate.now += *rc::gen::inRange<uint64_t>(0, 100000);
+        admission.now += *rc::gen::inRange<uint64_t>(0, 100000);
         if (kind < 5) {
-            gate.offer(random_item(gate.now));
+            admission.offer(random_item(admission.now));
         }
-        else if (kind < 8 && !gate.running.empty()) {
-            gate.finish(*rc::gen::inRange<size_t>(0, gate.running.size()));
+        else if (kind < 8 && !admission.running.empty()) {
+            admission.finish(
+                *rc::gen::inRange<size_t>(0, admission.running.size()));
         }
-        else if (kind == 8 && !gate.waiting.empty()) {
-            Request *gone = gate.waiting.front();
+        else if (kind == 8 && !admission.waiting.empty()) {
+            Request *removed = admission.waiting.front();
 
-            gate.waiting.pop_front();
-            RC_ASSERT(pgw_admit_remove(gate.admit, &gone->item, gate.now));
+            admission.waiting.pop_front();
+            RC_ASSERT(pgw_admit_remove(admission.admit, &removed->item,
+                                       admission.now));
         }
-        else if (kind == 9 && !gate.requests.empty()) {
-            size_t i = *rc::gen::inRange<size_t>(0, gate.requests.size());
-
-            pgw_admit_correct(gate.admit,
-                              &std::next(gate.requests.begin(),
-                                         static_cast<long>(i))
-                                   ->item,
-                              *rc::gen::inRange<uint32_t>(0, 3000));
+        else if (kind == 9 && !admission.requests.empty()) {
+            size_t i = *rc::gen::inRange<size_t>(0, admission.requests.size());
+
+            pgw_admit_set_uncached_tokens(
+                admission.admit,
+                &std::next(admission.requests.begin(), static_cast<long>(i))
+                     ->item,
+                *rc::gen::inRange<uint32_t>(0, 3000));
         }
         else {
-            gate.expire();
+            admission.expire();
         }
-        gate.start_all();
-        gate.check_load();
+        admission.start_all();
+        admission.check_load();
     }
-    for (size_t i = gate.requests.size();
-         i > 0 && !(gate.running.empty() && gate.waiting.empty()); i--) {
-        while (!gate.running.empty()) {
-            gate.finish(0);
+    for (size_t i = admission.requests.size();
+         i > 0 && !(admission.running.empty() && admission.waiting.empty());
+         i--) {
+        while (!admission.running.empty()) {
+            admission.finish(0);
         }
-        gate.expire();
-        gate.start_all();
+        admission.expire();
+        admission.start_all();
     }
-    RC_ASSERT(gate.running.empty() && gate.waiting.empty());
-    gate.check_load();
+    RC_ASSERT(admission.running.empty() && admission.waiting.empty());
+    admission.check_load();
 }
 
-/* The rate is learned from what was computed, and one prefill whose prefix
- * had been cached meanwhile does not spoil it. */
+/* The rate is learned from the tokens prefilled, and one prefill whose prefix
+ * had been cached meanwhile does not distort it. */
 static void
 rate_is_learned()
 {
@@ -229,7 +232,7 @@
         RC_ASSERT(answer.verdict == PGW_ADMIT_RUN);
         now += static_cast<uint64_t>(computed * 1e6 / rate + 20000);
         if (i < 199) {
-            pgw_admit_correct(admit, &item, computed);
+            pgw_admit_set_uncached_tokens(admit, &item, computed);
         }
         pgw_admit_first_token(admit, &item, now);
         pgw_admit_done(admit, &item, 0, now);
@@ -240,9 +243,9 @@
     RC_ASSERT(load.prefill_tokens_per_s < 1.2 * rate);
 }
 
-/* While two workspaces of one priority both wait, what they were served,
- * divided by share, differs by at most one largest request of each: a large
- * workspace with a long queue does not starve a small one. */
+/* While two workspaces of one priority both wait, their service divided by
+ * share differs by at most the largest request of each: a large workspace with
+ * a long queue does not starve a small one. */
 static void
 service_is_fair()
 {
@@ -255,7 +258,7 @@
     uint64_t now = 1;
 
     options.max_running = 1;
-    options.starve_us = UINT64_MAX / 2;
+    options.starvation_us = UINT64_MAX / 2;
     pgw_admit *admit = pgw_admit_new(&options);
     pgw_admit_answer answer;
     pgw_admit_item first = {};
@@ -284,16 +287,16 @@
         served[w] += item->uncached_tokens;
         left[w]--;
         pgw_admit_done(admit, item, 0, now);
-        /* Costs carry 1 us = 0.01 token more for each request. */
+        /* The cost of each request includes 1 us = 0.01 token. */
         RC_ASSERT(std::abs(served[0] / shares[0] - served[1] / shares[1]) <=
                   largest[0] / shares[0] + largest[1] / shares[1] + 4);
     }
     pgw_admit_free(admit);
 }
 
-/* What the queue may forget, a queue that never forgets: its virtual time
- * passes all start times when nothing waits. */
-struct KeptShares {
+/* Model of a fair queue that never removes a flow: its virtual time passes
+ * all start times when the queue is empty. */
+struct ModelQueue {
     std::map<uint64_t, double> start;
     std::map<uint64_t, int> waiting;
     double virtual_time = 0;
@@ -309,7 +312,7 @@
     }
 
     void
-    take_out(const pgw_admit_item &item)
+    remove(const pgw_admit_item &item)
     {
         waiting[item.workspace]--;
         if (std::all_of(waiting.begin(), waiting.end(),
@@ -321,26 +324,26 @@
     void
     serve(const pgw_admit_item &item, double cost)
     {
-        double &mine = start[item.workspace];
+        double &own = start[item.workspace];
 
         for (const auto &other : waiting) {
             RC_ASSERT(other.second == 0 ||
-                      mine <= start[other.first] + 1e-6);
+                      own <= start[other.first] + 1e-6);
         }
-        virtual_time = std::max(virtual_time, mine);
-        mine += cost / item.share;
-        largest = std::max(largest, mine);
-        take_out(item);
+        virtual_time = std::max(virtual_time, own);
+        own += cost / item.share;
+        largest = std::max(largest, own);
+        remove(item);
     }
 };
 
-/* A share that was dropped and made again is served like one that was kept,
- * and a queue that empties keeps none. */
+/* A flow that was removed and created again is served like one that was kept,
+ * and an empty queue keeps none. */
 static void
-forgotten_shares_do_not_matter()
+removed_flows_do_not_matter()
 {
     struct pgw_fair_queue queue;
-    KeptShares kept;
+    ModelQueue model;
     std::map<uint64_t, uint32_t> shares;
     std::list<pgw_admit_item> items;
     int steps = *rc::gen::inRange(1, 200);
@@ -357,18 +360,18 @@
                 shares.count(item->workspace) > 0
                     ? shares[item->workspace]
                     : *rc::gen::inRange<uint32_t>(1, 9);
-            kept.push(*item);
+            model.push(*item);
             pgw_fair_queue__push(&queue, item);
         }
         else if (pgw_admit_item *item = pgw_fair_queue__first(&queue)) {
             double cost = *rc::gen::inRange(1, 5000);
 
             if (kind == 8) {
-                kept.take_out(*item);
+                model.remove(*item);
                 pgw_fair_queue__remove(&queue, item);
             }
             else {
-                kept.serve(*item, cost);
+                model.serve(*item, cost);
                 pgw_fair_queue__serve(&queue, item, cost);
             }
         }
@@ -377,14 +380,15 @@
     pgw_fair_queue__dispose(&queue);
 }
 
-/* A stream of urgent work that never leaves a slot idle: batch work still
- * gets one start in each interval, so the overnight run completes. */
+/* Urgent requests that never leave a slot idle: batch requests still get one
+ * start in each interval, so an overnight batch completes. */
 static void
 batch_completes()
 {
-    Gate gate;
+    Admission admission;
     size_t batch = *rc::gen::inRange<size_t>(1, 10);
-    uint64_t limit = batch * (gate.options.starve_us + 200000) + gate.now;
+    uint64_t limit = batch * (admission.options.starvation_us + 200000) +
+                     admission.now;
     pgw_admit_item item = {};
 
     auto flood = [&]() {
@@ -393,8 +397,8 @@
         urgent.workspace = 1;
         urgent.priority = PGW_PRIORITY_URGENT;
         urgent.uncached_tokens = 1500;
-        while (gate.waiting.size() < 32) {
-            gate.offer(urgent);
+        while (admission.waiting.size() < 32) {
+            admission.offer(urgent);
         }
     };
     flood();
@@ -403,28 +407,28 @@
     item.is_batch = true;
     item.uncached_tokens = 3000;
     for (size_t i = 0; i < batch; i++) {
-        gate.offer(item);
+        admission.offer(item);
     }
     auto batch_waits = [&]() {
         return std::any_of(
-            gate.waiting.begin(), gate.waiting.end(),
+            admission.waiting.begin(), admission.waiting.end(),
             [](Request *r) { return r->item.priority == PGW_PRIORITY_BATCH; });
     };
     while (batch_waits()) {
         flood();
-        gate.now += 50000;
-        gate.finish(0);
-        gate.start_all();
-        RC_ASSERT(gate.now < limit);
+        admission.now += 50000;
+        admission.finish(0);
+        admission.start_all();
+        RC_ASSERT(admission.now < limit);
     }
 }
 
-/* A full queue still takes a small workspace's first requests, and a request
- * that cannot be in time is refused at once. */
+/* A full queue still accepts a small workspace's first requests, and a request
+ * that cannot meet its deadline is refused at once. */
 static void
 refusals_are_early_and_fair()
 {
-    Gate gate;
+    Admission admission;
     pgw_admit_item large = {}, small = {};
     bool refused = false;
 
@@ -432,14 +436,14 @@
     large.uncached_tokens = 2000;
     large.priority = small.priority = PGW_PRIORITY_NORMAL;
     for (int i = 0; i < 300; i++) {
-        refused |= gate.offer(large).verdict == PGW_ADMIT_REFUSE;
+        refused |= admission.offer(large).verdict == PGW_ADMIT_REFUSE;
     }
     RC_ASSERT(refused);
     small.workspace = 2;
-    RC_ASSERT(gate.offer(small).verdict != PGW_ADMIT_REFUSE);
-    small.deadline = gate.now + 50000;
+    RC_ASSERT(admission.offer(small).verdict != PGW_ADMIT_REFUSE);
+    small.deadline = admission.now + 50000;
     small.uncached_tokens = 1000;
-    RC_ASSERT(gate.offer(small).refusal == PGW_REFUSAL_DEADLINE);
+    RC_ASSERT(admission.offer(small).refusal == PGW_REFUSAL_DEADLINE);
 }
 
 int
@@ -449,8 +453,8 @@
 
     ok &= rc::check("rate is learned", rate_is_learned);
     ok &= rc::check("service is fair", service_is_fair);
-    ok &= rc::check("forgotten shares do not matter",
-                    forgotten_shares_do_not_matter);
+    ok &= rc::check("removed flows do not matter",
+                    removed_flows_do_not_matter);
     ok &= rc::check("batch completes", batch_completes);
     ok &= rc::check("refusals are early and fair",
                     refusals_are_early_and_fair);
--- a/tests/property/prop_version.cc
+++ b/tests/property/prop_version.cc
@@ -1,5 +1,5 @@
-// Properties of dividing a pool's requests among weights versions while its
-// engines change over.
+// Properties of the split of a pool's requests among weights versions during a
+// rollout.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -47,15 +47,15 @@
             rc::gen::inRange(0, 6)));
 }
 
-// From w1 to w2, seen from the start.
+// A rollout from w1 to w2, observed from its start.
 pgw_version_track
-changing()
+rollout()
 {
     pgw_version_track track{};
-    auto settled = members({{1, false, true}});
-    pgw_version_track_declare(&track, "w1");
-    pgw_version_track_observe(&track, settled.data(), settled.size());
-    pgw_version_track_declare(&track, "w2");
+    auto finished = members({{1, false, true}});
+    pgw_version_track_set_target(&track, "w1");
+    pgw_version_track_observe(&track, finished.data(), finished.size());
+    pgw_version_track_set_target(&track, "w2");
     return track;
 }
 
@@ -69,13 +69,13 @@
 }
 
 bool
-onlyAcceptedThatRun()
+servesTargetOrEarlier()
 {
-    return rc::check("a request gets a declared or replaced version, and "
+    return rc::check("a request gets the target or an earlier version, "
                      "one that an engine can serve if there is any", [] {
         const auto engines = *anyEngines();
         const auto hash = *rc::gen::arbitrary<uint64_t>();
-        const auto track = changing();
+        const auto track = rollout();
         pgw_version_split split;
         const std::string version = choose(track, engines, hash, &split);
         int able = 0;
@@ -95,13 +95,13 @@
 }
 
 bool
-neverBack()
+neverMovesBack()
 {
-    return rc::check("an engine that goes over takes requests to the new "
-                     "version and none back", [] {
+    return rc::check("an engine that loads the target version moves "
+                     "requests to it and none back", [] {
         auto engines = *anyEngines();
         const auto hash = *rc::gen::arbitrary<uint64_t>();
-        const auto track = changing();
+        const auto track = rollout();
         pgw_version_split split;
         engines.push_back({1, *rc::gen::arbitrary<bool>(), true});
         const std::string before = choose(track, engines, hash, &split);
@@ -121,12 +121,13 @@
 bool
 sharesFollowEngines()
 {
-    return rc::check("each version's share is that of its engines", [] {
+    return rc::check("each version's share is in proportion to its "
+                     "engines", [] {
         auto engines = *anyEngines();
         engines.push_back({1, false, true});
-        const auto track = changing();
+        const auto track = rollout();
         const int samples = 1000;
-        std::vector<int> counts(PGW_VERSION_PARTS);
+        std::vector<int> counts(PGW_VERSIONS_MAX);
         pgw_version_split split{};
         auto all = members(engines);
         pgw_version_split_init(&split, &track, all.data(), all.size());
@@ -143,12 +144,12 @@
 }
 
 bool
-settledServesDeclaredOnly()
+finishedServesTargetOnly()
 {
-    return rc::check("once all run the declared version no other one is "
-                     "served, until the next change", [] {
+    return rc::check("once all run the target version no other one is "
+                     "served, until the next rollout", [] {
         const auto late = *anyEngines();
-        auto track = changing();
+        auto track = rollout();
         auto all = members({{2, false, true}, {2, false, true}});
         pgw_version_split split;
         pgw_version_track_observe(&track, all.data(), all.size());
@@ -156,21 +157,21 @@
             choose(track, late, *rc::gen::arbitrary<uint64_t>(), &split);
         RC_ASSERT(version == "w2");
         RC_ASSERT(split.n == 1u);
-        pgw_version_track_declare(&track, "w3");
+        pgw_version_track_set_target(&track, "w3");
         choose(track, {{2, false, true}}, 0, &split);
         RC_ASSERT(split.parts[1].engines == 1u);
     });
 }
 
-// The search of one request while engines change over between its steps.
+// The search of one request while engines load versions between its steps.
 bool
 searchEndsAndFinds()
 {
-    return rc::check("a request that finds no place tries each version at "
+    return rc::check("a request without an engine tries each version at "
                      "most once, and every one that an engine runs before "
                      "it is refused", [] {
         const auto hash = *rc::gen::arbitrary<uint64_t>();
-        const auto track = changing();
+        const auto track = rollout();
         pgw_version_tried tried{};
         std::vector<std::string> seen;
         for (;;) {
@@ -191,20 +192,20 @@
             RC_ASSERT(!known(next));
             seen.emplace_back(next);
             RC_ASSERT(pgw_version_tried_add(&tried, next));
-            RC_ASSERT(seen.size() <= static_cast<size_t>(PGW_VERSION_PARTS));
+            RC_ASSERT(seen.size() <= static_cast<size_t>(PGW_VERSIONS_MAX));
         }
     });
 }
 
-// The last engine on w1 goes over between the stamp and the answer.
+// The last engine on w1 starts to load w2 after w1 was assigned.
 bool
-lastOldEngineGoesOver()
+lastEarlierEngineLoads()
 {
-    return rc::check("a request of the old version whose last engine goes "
-                     "over gets the new one", [] {
-        // The upper half, which is the share of the second part.
+    return rc::check("a request of the earlier version whose last engine "
+                     "loads gets the target version", [] {
+        // The upper half of the hashes, which the second part gets.
         const auto hash = *rc::gen::arbitrary<uint64_t>() | UINT64_C(1) << 63;
-        const auto track = changing();
+        const auto track = rollout();
         const std::vector<Engine> before = {{2, false, true}, {1, false, true}};
         const std::vector<Engine> after = {{2, false, true}, {1, true, true}};
         pgw_version_tried tried{};
@@ -225,11 +226,11 @@
 int
 main()
 {
-    bool good = onlyAcceptedThatRun();
-    good = neverBack() && good;
+    bool good = servesTargetOrEarlier();
+    good = neverMovesBack() && good;
     good = sharesFollowEngines() && good;
-    good = settledServesDeclaredOnly() && good;
+    good = finishedServesTargetOnly() && good;
     good = searchEndsAndFinds() && good;
-    good = lastOldEngineGoesOver() && good;
+    good = lastEarlierEngineLoads() && good;
     return good ? 0 : 1;
 }
