--- a/src/libparsleygw/sync.c
+++ b/src/libparsleygw/sync.c
@@ -67,7 +67,7 @@
         guint pick = (guint)g_random_int_range(0, (gint32)sync->links->len);
         struct pgw_link *link = g_ptr_array_index(sync->links, pick);
 
-        if (!pgw_sync_turn_is_others(&sync->turn, link, pgw_now_us())) {
+        if (!pgw_sync_turn_is_held_by_other(&sync->turn, link, pgw_now_us())) {
             send_digest(sync, link, NULL);
         }
     }
@@ -140,7 +140,7 @@
 pgw_sync_add_link(struct pgw_sync *sync, struct pgw_link *link)
 {
     g_ptr_array_add(sync->links, link);
-    if (!pgw_sync_turn_is_others(&sync->turn, link, pgw_now_us())) {
+    if (!pgw_sync_turn_is_held_by_other(&sync->turn, link, pgw_now_us())) {
         send_digest(sync, link, NULL);
     }
 }
@@ -150,8 +150,8 @@
 {
     g_ptr_array_remove_fast(sync->links, link);
     g_hash_table_remove(sync->summaries, link);
-    pgw_sync_turn_end(&sync->turn, link);
-    pgw_sync_copy_forget(&sync->copies, link);
+    pgw_sync_turn_release(&sync->turn, link);
+    pgw_sync_copy_remove(&sync->copies, link);
 }
 
 bool
@@ -175,14 +175,14 @@
 }
 
 void
-pgw_sync_note_listed(struct pgw_sync *sync)
+pgw_sync_mark_listed(struct pgw_sync *sync)
 {
     sync->listed = true;
     settle_if_listed(sync);
 }
 
 void
-pgw_sync_note_seeded(struct pgw_sync *sync)
+pgw_sync_mark_seeded(struct pgw_sync *sync)
 {
     sync->seeded = true;
 }
@@ -215,7 +215,7 @@
         theirs->summary != pgw_config_set_summary(sync->options.set)) {
         return;
     }
-    pgw_sync_turn_end(&sync->turn, link);
+    pgw_sync_turn_release(&sync->turn, link);
     if (is_proof(theirs->complete) && !is_empty(sync)) {
         atomic_store(&sync->settled, true);
     }
@@ -294,8 +294,9 @@
 }
 
 bool
-pgw_sync_offer(struct pgw_sync *sync, const char *kind, const char *name,
-               uint64_t version, const char *value, bool fresh, GError **error)
+pgw_sync_apply_object(struct pgw_sync *sync, const char *kind,
+                      const char *name, uint64_t version, const char *value,
+                      bool fresh, GError **error)
 {
     bool ok = merge(sync, NULL, kind, name, version, value, fresh, error);
 
@@ -307,7 +308,7 @@
 take_objects(struct pgw_sync *sync, struct pgw_link *link,
              const Pgw__Objects *message)
 {
-    pgw_sync_turn_heard(&sync->turn, link, pgw_now_us());
+    pgw_sync_turn_refresh(&sync->turn, link, pgw_now_us());
     for (size_t i = 0; i < message->n_objects; i++) {
         const Pgw__Object *object = message->objects[i];
         char *value = object->deleted
@@ -421,7 +422,7 @@
             atomic_store(&sync->settled, true);
         }
         if (pgw_link_pending_bytes(link) < SYNC_TURN_PENDING) {
-            pgw_sync_turn_end(&sync->turn, link);
+            pgw_sync_turn_release(&sync->turn, link);
         }
     }
     /*
@@ -441,7 +442,7 @@
 {
     bool all[PGW_CONFIG_BUCKETS];
 
-    if (pgw_sync_turn_ask(&sync->turn, pgw_now_us())) {
+    if (pgw_sync_turn_try_request_copy(&sync->turn, pgw_now_us())) {
         memset(all, true, sizeof(all));
         send_versions(sync, link, all, false);
     }
@@ -499,7 +500,7 @@
         send_digest(sync, link, NULL);
         return;
     }
-    pgw_sync_copy_ask(&sync->copies, link);
+    pgw_sync_copy_enqueue(&sync->copies, link);
     serve_copies(sync);
 }
 
@@ -519,8 +520,8 @@
         return;
     }
 #endif
-    pgw_sync_copy_forget(&sync->copies, link);
-    if (!pgw_sync_turn_take(&sync->turn, link, pgw_now_us())) {
+    pgw_sync_copy_remove(&sync->copies, link);
+    if (!pgw_sync_turn_acquire(&sync->turn, link, pgw_now_us())) {
         return;
     }
     if (digest->n_covered > 0) {
@@ -539,8 +540,9 @@
 }
 
 bool
-pgw_sync_take_frame(struct pgw_sync *sync, struct pgw_link *link,
-                    enum pgw_frame_type type, const ProtobufCMessage *message)
+pgw_sync_handle_frame(struct pgw_sync *sync, struct pgw_link *link,
+                      enum pgw_frame_type type,
+                      const ProtobufCMessage *message)
 {
     switch (type) {
     case PGW_FRAME_DIGEST:
--- a/src/libparsleygw/sync.h
+++ b/src/libparsleygw/sync.h
@@ -48,7 +48,7 @@
 void pgw_sync_remove_link(struct pgw_sync *sync, struct pgw_link *link);
 
 /**
- * pgw_sync_take_frame() - handle a frame of a link
+ * pgw_sync_handle_frame() - handle a frame of a link
  * @sync: the replica
  * @link: where it came from
  * @type: the frame's type
@@ -56,16 +56,16 @@
  *
  * Return: false when the type is none of its own.
  */
-bool pgw_sync_take_frame(struct pgw_sync *sync, struct pgw_link *link,
-                         enum pgw_frame_type type,
-                         const ProtobufCMessage *message);
+bool pgw_sync_handle_frame(struct pgw_sync *sync, struct pgw_link *link,
+                           enum pgw_frame_type type,
+                           const ProtobufCMessage *message);
 
-/** pgw_sync_note_listed() - each kind was read from the store as a whole */
-void pgw_sync_note_listed(struct pgw_sync *sync);
+/** pgw_sync_mark_listed() - each kind was read from the store as a whole */
+void pgw_sync_mark_listed(struct pgw_sync *sync);
 
-/** pgw_sync_note_seeded() - the set holds a whole copy that an operator gave
+/** pgw_sync_mark_seeded() - the set holds a whole copy that an operator gave
  */
-void pgw_sync_note_seeded(struct pgw_sync *sync);
+void pgw_sync_mark_seeded(struct pgw_sync *sync);
 
 /**
  * pgw_sync_is_settled() - all was read from the store, or a peer that holds
@@ -78,7 +78,7 @@
 bool pgw_sync_is_settled(const struct pgw_sync *sync);
 
 /**
- * pgw_sync_offer() - an object read from the store
+ * pgw_sync_apply_object() - an object read from the store
  * @sync: the replica
  * @kind: kind of the object
  * @name: its name
@@ -87,8 +87,8 @@
  * @fresh: a change just made, to be pushed on; not one of a whole list
  * @error: as pgw_config_set_apply()
  */
-bool pgw_sync_offer(struct pgw_sync *sync, const char *kind, const char *name,
-                    uint64_t version, const char *value, bool fresh,
-                    GError **error);
+bool pgw_sync_apply_object(struct pgw_sync *sync, const char *kind,
+                           const char *name, uint64_t version,
+                           const char *value, bool fresh, GError **error);
 
 #endif
--- a/src/libparsleygw/sync_copy.h
+++ b/src/libparsleygw/sync_copy.h
@@ -20,9 +20,9 @@
  */
 
 /* More than this still queued for a peer keeps the next one waiting. */
-#define PGW_SYNC_COPY_PENDING ((size_t)1 << 20)
+#define PGW_SYNC_COPY_MAX_PENDING_BYTES ((size_t)1 << 20)
 /* One that takes nothing for so long is not waited for. */
-#define PGW_SYNC_COPY_MOST_US UINT64_C(1000000)
+#define PGW_SYNC_COPY_TIMEOUT_US UINT64_C(1000000)
 
 /**
  * struct pgw_sync_copy - who gets a copy, in order
@@ -41,11 +41,12 @@
         .waiting = G_QUEUE_INIT                                               \
     }
 
-/** pgw_sync_copy_ask() - @link asks; one that waits already is not added */
-void pgw_sync_copy_ask(struct pgw_sync_copy *copy, void *link);
+/** pgw_sync_copy_enqueue() - @link asks; one that waits already is not added
+ */
+void pgw_sync_copy_enqueue(struct pgw_sync_copy *copy, void *link);
 
-/** pgw_sync_copy_forget() - @link needs no copy any more, or is closing */
-void pgw_sync_copy_forget(struct pgw_sync_copy *copy, const void *link);
+/** pgw_sync_copy_remove() - @link needs no copy any more, or is closing */
+void pgw_sync_copy_remove(struct pgw_sync_copy *copy, const void *link);
 
 /**
  * pgw_sync_copy_next() - whom to send a copy now
--- a/src/libparsleygw/sync_turn.c
+++ b/src/libparsleygw/sync_turn.c
@@ -1,13 +1,13 @@
 #include "libparsleygw/sync_turn.h"
 
 bool
-pgw_sync_turn_is_others(const struct pgw_sync_turn *turn, const void *link,
-                        uint64_t now_us)
+pgw_sync_turn_is_held_by_other(const struct pgw_sync_turn *turn,
+                               const void *link, uint64_t now_us)
 {
 #ifndef PGW_DISABLE_SYNC_TURN
     return turn->partner != NULL && turn->partner != link &&
-           now_us - turn->heard_us < PGW_SYNC_TURN_SILENT_US &&
-           now_us - turn->began_us < PGW_SYNC_TURN_MOST_US;
+           now_us - turn->heard_us < PGW_SYNC_TURN_IDLE_TIMEOUT_US &&
+           now_us - turn->began_us < PGW_SYNC_TURN_MAX_US;
 #else
     (void)turn;
     (void)link;
@@ -17,10 +17,10 @@
 }
 
 bool
-pgw_sync_turn_take(struct pgw_sync_turn *turn, const void *link,
-                   uint64_t now_us)
+pgw_sync_turn_acquire(struct pgw_sync_turn *turn, const void *link,
+                      uint64_t now_us)
 {
-    if (pgw_sync_turn_is_others(turn, link, now_us)) {
+    if (pgw_sync_turn_is_held_by_other(turn, link, now_us)) {
         return false;
     }
     if (turn->partner != link) {
@@ -31,8 +31,8 @@
 }
 
 void
-pgw_sync_turn_heard(struct pgw_sync_turn *turn, const void *link,
-                    uint64_t now_us)
+pgw_sync_turn_refresh(struct pgw_sync_turn *turn, const void *link,
+                      uint64_t now_us)
 {
     if (turn->partner == link) {
         turn->heard_us = now_us;
@@ -40,9 +40,9 @@
 }
 
 bool
-pgw_sync_turn_ask(struct pgw_sync_turn *turn, uint64_t now_us)
+pgw_sync_turn_try_request_copy(struct pgw_sync_turn *turn, uint64_t now_us)
 {
-    uint64_t pause = PGW_SYNC_TURN_SILENT_US;
+    uint64_t pause = PGW_SYNC_TURN_IDLE_TIMEOUT_US;
 
 #ifdef PGW_DISABLE_SYNC_ASK_AGAIN
     pause = UINT64_MAX;
@@ -55,7 +55,7 @@
 }
 
 void
-pgw_sync_turn_end(struct pgw_sync_turn *turn, const void *link)
+pgw_sync_turn_release(struct pgw_sync_turn *turn, const void *link)
 {
     if (turn->partner == link) {
         turn->partner = NULL;
--- a/src/libparsleygw/sync_turn.h
+++ b/src/libparsleygw/sync_turn.h
@@ -18,10 +18,10 @@
  */
 
 /* A partner that is silent for so long has lost its turn. */
-#define PGW_SYNC_TURN_SILENT_US UINT64_C(1000000)
+#define PGW_SYNC_TURN_IDLE_TIMEOUT_US UINT64_C(1000000)
 /* After so long others may take the turn: one that differs for ever, because
  * one side refuses a value, must not keep the others out. */
-#define PGW_SYNC_TURN_MOST_US UINT64_C(5000000)
+#define PGW_SYNC_TURN_MAX_US UINT64_C(5000000)
 
 /**
  * struct pgw_sync_turn - whose turn it is
@@ -37,20 +37,24 @@
     uint64_t asked_us;
 };
 
-/** pgw_sync_turn_is_others() - somebody else's, so that @link must wait */
-bool pgw_sync_turn_is_others(const struct pgw_sync_turn *turn,
-                             const void *link, uint64_t now_us);
+/** pgw_sync_turn_is_held_by_other() - somebody else's, so that @link must wait
+ */
+bool pgw_sync_turn_is_held_by_other(const struct pgw_sync_turn *turn,
+                                    const void *link, uint64_t now_us);
 
-/** pgw_sync_turn_take() - begin or go on. Return: false if @link must wait */
-bool pgw_sync_turn_take(struct pgw_sync_turn *turn, const void *link,
-                        uint64_t now_us);
+/** pgw_sync_turn_acquire() - begin or go on. Return: false if @link must wait
+ */
+bool pgw_sync_turn_acquire(struct pgw_sync_turn *turn, const void *link,
+                           uint64_t now_us);
 
-/** pgw_sync_turn_heard() - @link sent something; counts if it has the turn */
-void pgw_sync_turn_heard(struct pgw_sync_turn *turn, const void *link,
-                         uint64_t now_us);
+/** pgw_sync_turn_refresh() - @link sent something; counts if it has the turn
+ */
+void pgw_sync_turn_refresh(struct pgw_sync_turn *turn, const void *link,
+                           uint64_t now_us);
 
 /**
- * pgw_sync_turn_ask() - may the partner be asked for its whole copy now?
+ * pgw_sync_turn_try_request_copy() - may the partner be asked for its whole
+ * copy now?
  * @turn: the turn, which the partner has; notes that it is asked
  * @now_us: present time
  *
@@ -58,10 +62,11 @@
  * did not answer would leave this process empty for as long as it is the
  * partner.
  */
-bool pgw_sync_turn_ask(struct pgw_sync_turn *turn, uint64_t now_us);
+bool pgw_sync_turn_try_request_copy(struct pgw_sync_turn *turn,
+                                    uint64_t now_us);
 
-/** pgw_sync_turn_end() - @link needs its turn no longer, if it has it */
-void pgw_sync_turn_end(struct pgw_sync_turn *turn, const void *link);
+/** pgw_sync_turn_release() - @link needs its turn no longer, if it has it */
+void pgw_sync_turn_release(struct pgw_sync_turn *turn, const void *link);
 
 G_END_DECLS
 
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -150,6 +150,6 @@
         }
     }
     if (batch->is_full_list && is_applied(batch, set)) {
-        pgw_config_set_listed(set, batch->kind, batch->list.version);
+        pgw_config_set_mark_listed(set, batch->kind, batch->list.version);
     }
 }
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -41,7 +41,7 @@
     if (type == PGW_FRAME_OBJECTS) {
         replica->objects += ((const Pgw__Objects *)message)->n_objects;
     }
-    g_assert_true(pgw_sync_take_frame(replica->sync, link, type, message));
+    g_assert_true(pgw_sync_handle_frame(replica->sync, link, type, message));
     if (replica->watches_settled && type == PGW_FRAME_DIGEST &&
         ((const Pgw__Digest *)message)->n_covered > 0 &&
         ((const Pgw__Digest *)message)->n_objects == 0) {
@@ -175,7 +175,8 @@
     char *value = g_strdup_printf(POOL, (unsigned)version);
     GError *error = NULL;
 
-    pgw_sync_offer(replica->sync, "pool", name, version, value, true, &error);
+    pgw_sync_apply_object(replica->sync, "pool", name, version, value, true,
+                          &error);
     g_assert_no_error(error);
     g_free(value);
 }
@@ -220,8 +221,8 @@
         g_free(own);
     }
     offer(&all[0], "gone", 5);
-    g_assert_true(
-        pgw_sync_offer(all[2].sync, "pool", "gone", 6, NULL, true, NULL));
+    g_assert_true(pgw_sync_apply_object(all[2].sync, "pool", "gone", 6, NULL,
+                                        true, NULL));
     join(&all[0], &all[1]);
     join(&all[1], &all[2]);
     pgw_loop_run(fleet->loop);
@@ -257,7 +258,7 @@
     struct replica *all = fleet->replicas;
 
     offer_many(&all[0], 2000);
-    pgw_sync_note_listed(all[0].sync);
+    pgw_sync_mark_listed(all[0].sync);
     g_assert_false(pgw_sync_is_settled(all[1].sync));
     join(&all[1], &all[0]);
     join(&all[2], &all[1]);
@@ -279,7 +280,7 @@
     /* They agree on a part for some turns, then the rest is read. */
     if (!whole && all_agree(fleet) && fleet->checks > 100) {
         offer_many(&all[0], 7);
-        pgw_sync_note_listed(all[0].sync);
+        pgw_sync_mark_listed(all[0].sync);
     }
     return false;
 }
@@ -336,7 +337,7 @@
     offer_many(&all[1], 5);
     all[1].watches_settled = true;
     /* Even if it takes the nothing that it holds for all. */
-    pgw_sync_note_seeded(all[2].sync);
+    pgw_sync_mark_seeded(all[2].sync);
     join(&all[2], &all[1]);
     pgw_loop_run(fleet->loop);
     g_assert_false(all[1].settled_by_empty);
--- a/tests/unit/test_sync_copy.c
+++ b/tests/unit/test_sync_copy.c
@@ -12,11 +12,11 @@
 {
     struct pgw_sync_copy copy = PGW_SYNC_COPY_INIT;
 
-    pgw_sync_copy_ask(&copy, &links[0]);
-    pgw_sync_copy_ask(&copy, &links[1]);
-    pgw_sync_copy_ask(&copy, &links[0]);
-    pgw_sync_copy_ask(&copy, &links[2]);
-    pgw_sync_copy_forget(&copy, &links[1]);
+    pgw_sync_copy_enqueue(&copy, &links[0]);
+    pgw_sync_copy_enqueue(&copy, &links[1]);
+    pgw_sync_copy_enqueue(&copy, &links[0]);
+    pgw_sync_copy_enqueue(&copy, &links[2]);
+    pgw_sync_copy_remove(&copy, &links[1]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[0]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[2]);
     g_assert_null(pgw_sync_copy_next(&copy, 0, NOW));
@@ -31,17 +31,18 @@
     struct pgw_sync_copy copy = PGW_SYNC_COPY_INIT;
 
     for (unsigned i = 0; i < 3; i++) {
-        pgw_sync_copy_ask(&copy, &links[i]);
+        pgw_sync_copy_enqueue(&copy, &links[i]);
     }
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[0]);
-    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING, NOW + 1));
+    g_assert_null(
+        pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES, NOW + 1));
     g_assert_true(copy.current == &links[0]);
-    g_assert_true(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING,
-                                     NOW + PGW_SYNC_COPY_MOST_US) ==
+    g_assert_true(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES,
+                                     NOW + PGW_SYNC_COPY_TIMEOUT_US) ==
                   &links[1]);
-    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING,
-                                     NOW + PGW_SYNC_COPY_MOST_US));
-    pgw_sync_copy_forget(&copy, &links[1]);
+    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES,
+                                     NOW + PGW_SYNC_COPY_TIMEOUT_US));
+    pgw_sync_copy_remove(&copy, &links[1]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[2]);
 }
 
