--- a/bench/control/peers.c
+++ b/bench/control/peers.c
@@ -95,7 +95,7 @@
         take_hello(peer);
     }
     else {
-        pgw_sync_take_frame(peer->sync, link, type, message);
+        pgw_sync_handle_frame(peer->sync, link, type, message);
     }
     return false;
 }
@@ -177,7 +177,7 @@
     sync.on_change = ignore_change;
     sync.interval_us *= MAX(peers->options.peer_links, 1);
     peer->sync = pgw_sync_new(&sync);
-    pgw_sync_note_listed(peer->sync);
+    pgw_sync_mark_listed(peer->sync);
     if (!peers->are_sidecars) {
         pgw_timer_start(peers->loop, &peer->timer,
                         pgw_random_u64() % RETRY_US);
@@ -281,8 +281,8 @@
     struct peers *peers = pgw_container_of(timer, struct peers, change);
     char *value = objects_workspace(0, 2 + peers->changes++ % 8);
 
-    pgw_sync_offer(peers->all[0].sync, "workspace", "workspace-00000",
-                   peers->version + peers->changes, value, true, NULL);
+    pgw_sync_apply_object(peers->all[0].sync, "workspace", "workspace-00000",
+                          peers->version + peers->changes, value, true, NULL);
     g_free(value);
     pgw_timer_start(peers->loop, timer, peers->change_us);
 }
--- a/include/parsleygw/config.h
+++ b/include/parsleygw/config.h
@@ -193,7 +193,7 @@
                           const char *value, bool *changed, GError **error);
 
 /**
- * pgw_config_set_listed() - a whole list of the store was applied
+ * pgw_config_set_mark_listed() - a whole list of the store was applied
  * @set: the set, which holds all objects of the list
  * @kind: kind that was listed
  * @version: the collection's version
@@ -201,8 +201,8 @@
  * From now on news of that kind with no higher version is known to be of a
  * deleted object: pgw_config_set_apply() takes a tombstone for it.
  */
-void pgw_config_set_listed(struct pgw_config_set *set, const char *kind,
-                           uint64_t version);
+void pgw_config_set_mark_listed(struct pgw_config_set *set, const char *kind,
+                                uint64_t version);
 
 /**
  * pgw_config_set_version() - version held of one object
--- a/include/parsleygw/member.h
+++ b/include/parsleygw/member.h
@@ -93,12 +93,13 @@
 };
 
 /**
- * pgw_member_judge() - state that follows from the facts
+ * pgw_member_evaluate_state() - state that follows from the facts
  * @facts: the facts
  * @lag_us: how far the platform's list may lag behind
  */
-enum pgw_member_state pgw_member_judge(const struct pgw_member_facts *facts,
-                                       uint64_t lag_us);
+enum pgw_member_state
+pgw_member_evaluate_state(const struct pgw_member_facts *facts,
+                          uint64_t lag_us);
 
 /**
  * struct pgw_member - one upstream in a view
@@ -171,14 +172,14 @@
                               uint64_t incarnation, uint64_t now_us);
 
 /**
- * struct pgw_member_word - a sidecar's own word (message State)
+ * struct pgw_member_status - a sidecar's own word (message State)
  * @leaving: it takes no new work; never taken back by the same incarnation
  * @upstream_alive: its upstream answers
  * @engine: incarnation of its engine
  * @weights: weights version of its engine
  * @loading: the engine changes its weights
  */
-struct pgw_member_word {
+struct pgw_member_status {
     bool leaving;
     bool upstream_alive;
     uint64_t engine;
@@ -187,15 +188,15 @@
 };
 
 /**
- * pgw_members_said() - take a sidecar's word
+ * pgw_members_apply_status() - take a sidecar's word
  * @members: the tracker
  * @id: the instance
  * @incarnation: who said it; the word of an older process is ignored
  * @word: what it said
  */
-void pgw_members_said(struct pgw_members *members, const char *id,
-                      uint64_t incarnation,
-                      const struct pgw_member_word *word);
+void pgw_members_apply_status(struct pgw_members *members, const char *id,
+                              uint64_t incarnation,
+                              const struct pgw_member_status *word);
 
 /**
  * pgw_members_build() - view of the present facts
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -53,7 +53,7 @@
     pgw_rcu_replace(entry->snapshot, pgw_config_ref(config));
     upstreams_apply(entry);
     if (entry->feed != NULL) {
-        pgw_config_feed_changed(entry->feed, config);
+        pgw_config_feed_update(entry->feed, config);
     }
     pgw_trace_record(entry->trace, PGW_TRACE_CONFIG_APPLY, NULL, 0,
                      pgw_config_version(config), 0, NULL);
@@ -74,7 +74,7 @@
     }
     g_list_free(all);
     pools_refresh(entry);
-    pgw_config_feed_trace(entry->feed, entry->trace);
+    pgw_config_feed_report_store_state(entry->feed, entry->trace);
     pgw_timer_start(entry->loop, timer, WATCH_INTERVAL_US);
 }
 
@@ -189,7 +189,7 @@
         why = "leaving: a planned stop is under way\n";
     }
     else if (empty) {
-        pgw_config_feed_state(entry->feed, &store);
+        pgw_config_feed_get_watch_state(entry->feed, &store);
         *reason = g_strdup_printf(
             "no configuration yet: no peer has one and the store %s%s; check "
             "store_url and seeds\n",
@@ -282,7 +282,7 @@
     if (entry->feed == NULL) {
         return false;
     }
-    pgw_config_feed_changed(entry->feed, entry->config);
+    pgw_config_feed_update(entry->feed, entry->config);
     entry->worker = pgw_store_worker_new(pgw_config_feed_store(entry->feed),
                                          entry->loop, 1);
     entry->list_timer.on_due = list_due;
@@ -320,7 +320,7 @@
                                       error)) {
             goto fail;
         }
-        pgw_sync_note_seeded(entry->sync);
+        pgw_sync_mark_seeded(entry->sync);
     }
     config_changed(entry);
     if (!feed_init(entry, error) || !upstreams_add_seeds(entry, error)) {
--- a/src/entry/upstream.c
+++ b/src/entry/upstream.c
@@ -80,7 +80,7 @@
 static void
 take_state(struct upstream *upstream, const Pgw__State *state)
 {
-    struct pgw_member_word word = {
+    struct pgw_member_status word = {
         .leaving = state->leaving,
         .upstream_alive = state->upstream_alive,
         .engine = state->engine,
@@ -91,8 +91,8 @@
     pgw_hlc_receive(pgw_hlc_process(), state->clock, pgw_hlc_wall_us());
     lost_take_state(upstream, state->upstream_alive, state->engine);
     if (!upstream->is_seed) {
-        pgw_members_said(upstream->entry->members, upstream->id,
-                         upstream->incarnation, &word);
+        pgw_members_apply_status(upstream->entry->members, upstream->id,
+                                 upstream->incarnation, &word);
     }
 }
 
@@ -164,7 +164,7 @@
                                 (const Pgw__Objects *)message);
         break;
     default:
-        if (!pgw_sync_take_frame(entry->sync, link, type, message)) {
+        if (!pgw_sync_handle_frame(entry->sync, link, type, message)) {
             pgw_log_warning("frame_unexpected", "type=%d upstream=%s", type,
                             upstream->id);
             pgw_link_close(link);
--- a/src/libparsleygw/config.c
+++ b/src/libparsleygw/config.c
@@ -61,7 +61,7 @@
     size_t i = slot_of(table, key->sha256);
 
     while (table->slots[i].key != NULL) {
-        struct pgw_config__slot *slot = &table->slots[i];
+        struct pgw_config__key_slot *slot = &table->slots[i];
 
         if (digest_equal(slot->key->sha256, key->sha256)) {
             if (strcmp(slot->workspace->name, workspace->name) <= 0) {
@@ -72,7 +72,7 @@
         i = (i + 1) & table->slot_mask;
     }
     table->slots[i] =
-        (struct pgw_config__slot){.key = key, .workspace = workspace};
+        (struct pgw_config__key_slot){.key = key, .workspace = workspace};
 }
 
 static void
@@ -90,7 +90,7 @@
     while (n_slots < 2 * n_keys) {
         n_slots *= 2;
     }
-    table->slots = g_new0(struct pgw_config__slot, n_slots);
+    table->slots = g_new0(struct pgw_config__key_slot, n_slots);
     table->slot_mask = n_slots - 1;
     g_hash_table_iter_init(&iter, table->by_name);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
--- a/src/libparsleygw/config_feed.c
+++ b/src/libparsleygw/config_feed.c
@@ -31,8 +31,8 @@
 
     /* A whole list would go four times over the links, object by object;
      * peers that lack some of it find out by their summaries. */
-    if (!pgw_sync_offer(self->feed->options.sync, kind, name, version, value,
-                        !self->batch->whole, &error)) {
+    if (!pgw_sync_apply_object(self->feed->options.sync, kind, name, version,
+                               value, !self->batch->whole, &error)) {
         pgw_log_warning("config_refused", "kind=%s name=%s error=%s", kind,
                         name, error->message);
         g_clear_error(&error);
@@ -69,7 +69,7 @@
         all &= feed->listed[i];
     }
     if (all) {
-        pgw_sync_note_listed(feed->options.sync);
+        pgw_sync_mark_listed(feed->options.sync);
     }
 }
 
@@ -187,8 +187,8 @@
 }
 
 void
-pgw_config_feed_changed(struct pgw_config_feed *feed,
-                        const struct pgw_config *config)
+pgw_config_feed_update(struct pgw_config_feed *feed,
+                       const struct pgw_config *config)
 {
     size_t count = 0;
     const struct pgw_upstream *const *upstreams =
@@ -223,7 +223,8 @@
 }
 
 void
-pgw_config_feed_trace(struct pgw_config_feed *feed, struct pgw_trace *trace)
+pgw_config_feed_report_store_state(struct pgw_config_feed *feed,
+                                   struct pgw_trace *trace)
 {
     struct pgw_watch_state state;
     bool down;
@@ -248,8 +249,8 @@
 }
 
 void
-pgw_config_feed_state(struct pgw_config_feed *feed,
-                      struct pgw_watch_state *out)
+pgw_config_feed_get_watch_state(struct pgw_config_feed *feed,
+                                struct pgw_watch_state *out)
 {
     pgw_watch_get_state(feed->watch, out);
 }
--- a/src/libparsleygw/config_feed.h
+++ b/src/libparsleygw/config_feed.h
@@ -53,24 +53,26 @@
 void pgw_config_feed_free(struct pgw_config_feed *feed);
 
 /**
- * pgw_config_feed_changed() - the replica changed; on the loop's thread
+ * pgw_config_feed_update() - the replica changed; on the loop's thread
  * @feed: the feed
  * @config: the new snapshot
  *
  * Tells the watch who may share its work in this zone and what is held.
  */
-void pgw_config_feed_changed(struct pgw_config_feed *feed,
-                             const struct pgw_config *config);
+void pgw_config_feed_update(struct pgw_config_feed *feed,
+                            const struct pgw_config *config);
 
 /** pgw_config_feed_store() - the store client, shared with other users */
 struct pgw_store *pgw_config_feed_store(struct pgw_config_feed *feed);
 
-/** pgw_config_feed_trace() - note when the store went or came back */
-void pgw_config_feed_trace(struct pgw_config_feed *feed,
-                           struct pgw_trace *trace);
+/** pgw_config_feed_report_store_state() - note when the store went or came
+ * back */
+void pgw_config_feed_report_store_state(struct pgw_config_feed *feed,
+                                        struct pgw_trace *trace);
 
-/** pgw_config_feed_state() - whether the store can be reached; any thread */
-void pgw_config_feed_state(struct pgw_config_feed *feed,
-                           struct pgw_watch_state *out);
+/** pgw_config_feed_get_watch_state() - whether the store can be reached; any
+ * thread */
+void pgw_config_feed_get_watch_state(struct pgw_config_feed *feed,
+                                     struct pgw_watch_state *out);
 
 #endif
--- a/src/libparsleygw/config_internal.h
+++ b/src/libparsleygw/config_internal.h
@@ -30,7 +30,7 @@
 };
 
 /* A slot of the open-addressed table of key digests. */
-struct pgw_config__slot {
+struct pgw_config__key_slot {
     const struct pgw_key *key;
     const struct pgw_workspace *workspace;
 };
@@ -39,7 +39,7 @@
 struct pgw_config__table {
     atomic_uint refs;
     GHashTable *by_name; /* name -> object, holds references */
-    struct pgw_config__slot *slots;
+    struct pgw_config__key_slot *slots;
     size_t slot_mask;
     GHashTable *pools; /* pool -> GPtrArray of struct pgw_upstream */
     GPtrArray *upstreams;
@@ -98,7 +98,7 @@
                                  const char *member, double fallback);
 JsonArray *pgw_config__read_array(struct pgw_config__reader *reader,
                                   const char *member);
-void pgw_config__read_known(struct pgw_config__reader *reader,
-                            const char *const *members);
+void pgw_config__check_members(struct pgw_config__reader *reader,
+                               const char *const *members);
 
 #endif
--- a/src/libparsleygw/config_json.c
+++ b/src/libparsleygw/config_json.c
@@ -161,8 +161,8 @@
 }
 
 void
-pgw_config__read_known(struct pgw_config__reader *reader,
-                       const char *const *members)
+pgw_config__check_members(struct pgw_config__reader *reader,
+                          const char *const *members)
 {
     JsonObjectIter iter;
     const char *member;
--- a/src/libparsleygw/config_set.c
+++ b/src/libparsleygw/config_set.c
@@ -100,8 +100,8 @@
 }
 
 void
-pgw_config_set_listed(struct pgw_config_set *set, const char *kind,
-                      uint64_t version)
+pgw_config_set_mark_listed(struct pgw_config_set *set, const char *kind,
+                           uint64_t version)
 {
     enum pgw_config__kind number;
 
--- a/src/libparsleygw/config_value.c
+++ b/src/libparsleygw/config_value.c
@@ -109,7 +109,7 @@
         "level_marker", "max_tokens",  "workspaces", NULL};
     char *priority;
 
-    pgw_config__read_known(reader, members);
+    pgw_config__check_members(reader, members);
     profile->is_service = read_type(reader);
     profile->pool = pgw_config__read_name(reader, "pool", NULL);
     profile->model = pgw_config__read_string(reader, "model", "", TEXT_MAX);
@@ -154,7 +154,7 @@
         return;
     }
     reader.object = json_node_get_object(node);
-    pgw_config__read_known(&reader, members);
+    pgw_config__check_members(&reader, members);
     key->id = pgw_config__read_name(&reader, "id", NULL);
     hex = pgw_config__read_string(&reader, "sha256", NULL, DIGEST_DIGITS);
     if (hex != NULL &&
@@ -177,7 +177,7 @@
     JsonArray *array;
     struct pgw_key *keys;
 
-    pgw_config__read_known(reader, members);
+    pgw_config__check_members(reader, members);
     workspace->share = pgw_config__read_uint(reader, "share", 1, 1, 10000);
     workspace->max_inflight =
         pgw_config__read_uint(reader, "max_inflight", 0, 0, 1000000);
@@ -212,7 +212,7 @@
                                           NULL};
     const char *fallback;
 
-    pgw_config__read_known(reader, members);
+    pgw_config__check_members(reader, members);
     pool->is_service = read_type(reader);
     /* A plain service runs no model. */
     fallback = pool->is_service ? "" : NULL;
@@ -263,7 +263,7 @@
     char *address;
     char *state;
 
-    pgw_config__read_known(reader, members);
+    pgw_config__check_members(reader, members);
     upstream->pool = pgw_config__read_name(reader, "pool", NULL);
     upstream->zone = pgw_config__read_name(reader, "zone", NULL);
     address = pgw_config__read_string(reader, "address", NULL, TEXT_MAX);
--- a/src/libparsleygw/member.c
+++ b/src/libparsleygw/member.c
@@ -49,7 +49,8 @@
 }
 
 enum pgw_member_state
-pgw_member_judge(const struct pgw_member_facts *facts, uint64_t lag_us)
+pgw_member_evaluate_state(const struct pgw_member_facts *facts,
+                          uint64_t lag_us)
 {
     if (!facts->declared || is_absent(facts, lag_us)) {
         return PGW_MEMBER_GONE;
@@ -220,8 +221,9 @@
 }
 
 void
-pgw_members_said(struct pgw_members *members, const char *id,
-                 uint64_t incarnation, const struct pgw_member_word *word)
+pgw_members_apply_status(struct pgw_members *members, const char *id,
+                         uint64_t incarnation,
+                         const struct pgw_member_status *word)
 {
     struct tracked *tracked = track(members, id);
     struct tracked before = *tracked;
@@ -256,7 +258,8 @@
 
     facts.declared = true;
     facts.declared_leaving = member->upstream->leaving;
-    member->state = pgw_member_judge(&facts, members->options.list_lag_us);
+    member->state =
+        pgw_member_evaluate_state(&facts, members->options.list_lag_us);
     member->incarnation = facts.incarnation;
     member->engine = tracked->engine;
     memcpy(member->weights, tracked->weights, sizeof(member->weights));
--- a/src/libparsleygw/object_batch.c
+++ b/src/libparsleygw/object_batch.c
@@ -1,10 +1,10 @@
 #include "libparsleygw/object_batch.h"
 
-/* One frame of objects stays well below PGW_FRAME_MAX. */
-#define FRAME_BYTES ((size_t)1 << 20)
+/* Keeps a frame of objects well below PGW_FRAME_MAX. */
+#define MAX_VALUE_BYTES_PER_FRAME ((size_t)1 << 20)
 
 static void
-batch_flush(struct pgw_object_batch *batch)
+flush_batch(struct pgw_object_batch *batch)
 {
     Pgw__Objects message = PGW__OBJECTS__INIT;
 
@@ -25,8 +25,8 @@
     size_t size = value == NULL ? 0 : strlen(value);
     Pgw__Object *object = g_new(Pgw__Object, 1);
 
-    if (batch->bytes + size > FRAME_BYTES) {
-        batch_flush(batch);
+    if (batch->bytes + size > MAX_VALUE_BYTES_PER_FRAME) {
+        flush_batch(batch);
     }
     *object = (Pgw__Object)PGW__OBJECT__INIT;
     object->kind = (char *)kind;
@@ -51,6 +51,6 @@
 void
 pgw_object_batch_dispose(struct pgw_object_batch *batch)
 {
-    batch_flush(batch);
+    flush_batch(batch);
     g_ptr_array_unref(batch->objects);
 }
--- a/src/libparsleygw/sync.c
+++ b/src/libparsleygw/sync.c
@@ -6,32 +6,32 @@
 #include <stdatomic.h>
 #include <string.h>
 
-/* More objects at once are a process catching up, which others need not
- * hear of: only fresh changes are pushed on. */
-#define SYNC_PUSH_OBJECTS 16
-/* More than this still queued for a partner keeps the turn with it. */
-#define SYNC_TURN_PENDING ((size_t)1 << 20)
-#define SYNC_COPY_CHECK_US UINT64_C(20000)
+/* A frame with more objects is part of a copy, not of a change just made, and
+ * is not forwarded to other peers. */
+#define MAX_PUSHED_OBJECTS 16
+/* A partner with this much pending on its link keeps its turn. */
+#define TURN_MAX_PENDING_BYTES ((size_t)1 << 20)
+#define COPY_CHECK_INTERVAL_US UINT64_C(20000)
 
 struct pgw_sync {
     struct pgw_sync_options options;
     GPtrArray *links;
-    GHashTable *summaries; /* by link: what its peer last said it holds */
+    GHashTable *summaries; /* link -> last struct peer_digest */
     struct pgw_sync_turn turn;
     struct pgw_sync_copy copies;
     struct pgw_timer copy_timer;
-    uint64_t empty; /* summary of one that holds nothing */
+    uint64_t empty; /* summary of an empty set */
     atomic_bool settled;
-    bool listed; /* each kind was read from the store as a whole */
-    bool seeded; /* an operator gave the first copy */
+    bool listed; /* all kinds were listed from the store */
+    bool seeded; /* the set started from a bootstrap file */
     struct pgw_timer timer;
     struct pgw_task notify;
     bool notify_queued;
     bool freed;
 };
 
-/* What a peer last said of itself. */
-struct peer_word {
+/* A peer's last digest. */
+struct peer_digest {
     uint64_t summary;
     bool complete;
 };
@@ -58,27 +58,27 @@
 }
 
 static void
-exchange_due(struct pgw_timer *timer)
+on_exchange_timer(struct pgw_timer *timer)
 {
     struct pgw_sync *sync = pgw_container_of(timer, struct pgw_sync, timer);
     uint64_t interval = sync->options.interval_us;
 
     if (sync->links->len > 0) {
-        guint pick = (guint)g_random_int_range(0, (gint32)sync->links->len);
-        struct pgw_link *link = g_ptr_array_index(sync->links, pick);
+        guint index = (guint)g_random_int_range(0, (gint32)sync->links->len);
+        struct pgw_link *link = g_ptr_array_index(sync->links, index);
 
-        if (!pgw_sync_turn_is_others(&sync->turn, link, pgw_now_us())) {
+        if (!pgw_sync_turn_is_held_by_other(&sync->turn, link, pgw_now_us())) {
             send_digest(sync, link, NULL);
         }
     }
-    /* Jitter keeps processes that started together from staying in step. */
+    /* Jitter desynchronizes processes that started together. */
     pgw_timer_start(sync->options.loop, timer,
                     interval / 2 +
                         (uint64_t)(g_random_double() * (double)interval));
 }
 
 static void
-notify_run(struct pgw_task *task)
+run_notify(struct pgw_task *task)
 {
     struct pgw_sync *sync = pgw_container_of(task, struct pgw_sync, notify);
 
@@ -91,7 +91,7 @@
 }
 
 static uint64_t
-empty_summary(void)
+compute_empty_summary(void)
 {
     struct pgw_config_set *set = pgw_config_set_new();
     uint64_t summary = pgw_config_set_summary(set);
@@ -100,7 +100,7 @@
     return summary;
 }
 
-static void copies_due(struct pgw_timer *timer);
+static void on_copy_timer(struct pgw_timer *timer);
 
 struct pgw_sync *
 pgw_sync_new(const struct pgw_sync_options *options)
@@ -111,10 +111,10 @@
     sync->links = g_ptr_array_new();
     sync->summaries = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     sync->copies = (struct pgw_sync_copy)PGW_SYNC_COPY_INIT;
-    sync->copy_timer.on_due = copies_due;
-    sync->empty = empty_summary();
-    sync->timer.on_due = exchange_due;
-    sync->notify.run = notify_run;
+    sync->copy_timer.on_due = on_copy_timer;
+    sync->empty = compute_empty_summary();
+    sync->timer.on_due = on_exchange_timer;
+    sync->notify.run = run_notify;
     pgw_timer_start(options->loop, &sync->timer, options->interval_us);
     return sync;
 }
@@ -140,7 +140,7 @@
 pgw_sync_add_link(struct pgw_sync *sync, struct pgw_link *link)
 {
     g_ptr_array_add(sync->links, link);
-    if (!pgw_sync_turn_is_others(&sync->turn, link, pgw_now_us())) {
+    if (!pgw_sync_turn_is_held_by_other(&sync->turn, link, pgw_now_us())) {
         send_digest(sync, link, NULL);
     }
 }
@@ -150,8 +150,8 @@
 {
     g_ptr_array_remove_fast(sync->links, link);
     g_hash_table_remove(sync->summaries, link);
-    pgw_sync_turn_end(&sync->turn, link);
-    pgw_sync_copy_forget(&sync->copies, link);
+    pgw_sync_turn_release(&sync->turn, link);
+    pgw_sync_copy_remove(&sync->copies, link);
 }
 
 bool
@@ -175,26 +175,27 @@
 }
 
 void
-pgw_sync_note_listed(struct pgw_sync *sync)
+pgw_sync_mark_listed(struct pgw_sync *sync)
 {
     sync->listed = true;
     settle_if_listed(sync);
 }
 
 void
-pgw_sync_note_seeded(struct pgw_sync *sync)
+pgw_sync_mark_seeded(struct pgw_sync *sync)
 {
     sync->seeded = true;
 }
 
 /*
- * Failure: a fleet starts together, and this process agrees with a peer that
- * has read only some kinds of objects so far. Symptom: it says that it is
- * ready and refuses a valid key as "unauthorized". A peer that holds all says
- * so, and learned it from the store, from such a peer or from its operator.
+ * Failure: all processes start together, and this one has the same summary as
+ * a peer that has listed only some kinds so far. Symptom: it reports that it
+ * is ready and refuses a valid key as "unauthorized". The peer's flag is
+ * enough: a peer sets it only when its replica is known to be complete from
+ * the store, from another complete peer or from its bootstrap file.
  */
 static bool
-is_proof(bool complete)
+proves_completeness(bool complete)
 {
 #ifndef PGW_DISABLE_SYNC_COMPLETE
     return complete;
@@ -204,32 +205,32 @@
 #endif
 }
 
-/* Two empty replicas agree, too, and know nothing. */
+/* Equal summaries of two empty replicas prove nothing. */
 static void
 settle_if_equal(struct pgw_sync *sync, const struct pgw_link *link)
 {
-    const struct peer_word *theirs =
+    const struct peer_digest *theirs =
         g_hash_table_lookup(sync->summaries, link);
 
     if (theirs == NULL ||
         theirs->summary != pgw_config_set_summary(sync->options.set)) {
         return;
     }
-    pgw_sync_turn_end(&sync->turn, link);
-    if (is_proof(theirs->complete) && !is_empty(sync)) {
+    pgw_sync_turn_release(&sync->turn, link);
+    if (proves_completeness(theirs->complete) && !is_empty(sync)) {
         atomic_store(&sync->settled, true);
     }
 }
 
 static void
-note_word(struct pgw_sync *sync, struct pgw_link *link,
-          const Pgw__Digest *digest)
+record_peer_digest(struct pgw_sync *sync, struct pgw_link *link,
+                   const Pgw__Digest *digest)
 {
-    struct peer_word *word = g_new(struct peer_word, 1);
+    struct peer_digest *last = g_new(struct peer_digest, 1);
 
-    word->summary = digest->summary;
-    word->complete = digest->complete;
-    g_hash_table_insert(sync->summaries, link, word);
+    last->summary = digest->summary;
+    last->complete = digest->complete;
+    g_hash_table_insert(sync->summaries, link, last);
     settle_if_equal(sync, link);
 }
 
@@ -244,8 +245,8 @@
     pgw_object_batch_dispose(&batch);
 }
 
-/* A few random links suffice: the fleet is reached in logarithmic time, and
- * the cost of a change does not grow with the number of links. */
+/* A few random links suffice: a change reaches all processes in a logarithmic
+ * number of rounds, and its cost does not grow with the number of links. */
 static void
 push(struct pgw_sync *sync, const struct pgw_link *origin, const char *kind,
      const char *name, uint64_t version, const char *value)
@@ -270,9 +271,9 @@
 }
 
 static bool
-merge(struct pgw_sync *sync, const struct pgw_link *origin, const char *kind,
-      const char *name, uint64_t version, const char *value, bool push_on,
-      GError **error)
+apply_object(struct pgw_sync *sync, const struct pgw_link *origin,
+             const char *kind, const char *name, uint64_t version,
+             const char *value, bool push_change, GError **error)
 {
     bool changed = false;
 
@@ -283,7 +284,7 @@
     if (!changed) {
         return true;
     }
-    if (push_on) {
+    if (push_change) {
         push(sync, origin, kind, name, version, value);
     }
     if (!sync->notify_queued) {
@@ -294,20 +295,22 @@
 }
 
 bool
-pgw_sync_offer(struct pgw_sync *sync, const char *kind, const char *name,
-               uint64_t version, const char *value, bool fresh, GError **error)
+pgw_sync_apply_object(struct pgw_sync *sync, const char *kind,
+                      const char *name, uint64_t version, const char *value,
+                      bool is_new_change, GError **error)
 {
-    bool ok = merge(sync, NULL, kind, name, version, value, fresh, error);
+    bool ok = apply_object(sync, NULL, kind, name, version, value,
+                           is_new_change, error);
 
     settle_if_listed(sync);
     return ok;
 }
 
 static void
-take_objects(struct pgw_sync *sync, struct pgw_link *link,
-             const Pgw__Objects *message)
+handle_objects(struct pgw_sync *sync, struct pgw_link *link,
+               const Pgw__Objects *message)
 {
-    pgw_sync_turn_heard(&sync->turn, link, pgw_now_us());
+    pgw_sync_turn_refresh(&sync->turn, link, pgw_now_us());
     for (size_t i = 0; i < message->n_objects; i++) {
         const Pgw__Object *object = message->objects[i];
         char *value = object->deleted
@@ -316,10 +319,11 @@
                                       object->value.len);
         GError *error = NULL;
 
-        /* A value that this version refuses stays out; its older form, which
-         * every process agreed on before, remains in force. */
-        if (!merge(sync, link, object->kind, object->name, object->version,
-                   value, message->n_objects <= SYNC_PUSH_OBJECTS, &error)) {
+        /* A value that this program version refuses is not applied; the
+         * object's earlier version stays in force. */
+        if (!apply_object(sync, link, object->kind, object->name,
+                          object->version, value,
+                          message->n_objects <= MAX_PUSHED_OBJECTS, &error)) {
             g_message("event=config_refused kind=%s name=%s error=%s",
                       object->kind, object->name, error->message);
             g_clear_error(&error);
@@ -329,14 +333,14 @@
     settle_if_equal(sync, link);
 }
 
-/* Lists the versions in the buckets of @wanted. */
+/* Sends the versions of the objects in the buckets of @wanted. */
 static void
 send_versions(struct pgw_sync *sync, struct pgw_link *link, const bool *wanted,
               bool answer)
 {
     Pgw__Digest digest = PGW__DIGEST__INIT;
     GArray *versions = pgw_config_set_versions(sync->options.set, wanted);
-    Pgw__ObjectVersion *lines = g_new(Pgw__ObjectVersion, versions->len + 1);
+    Pgw__ObjectVersion *items = g_new(Pgw__ObjectVersion, versions->len + 1);
     Pgw__ObjectVersion **pointers =
         g_new(Pgw__ObjectVersion *, versions->len + 1);
     uint32_t covered[PGW_CONFIG_BUCKETS];
@@ -350,11 +354,11 @@
         const struct pgw_config_version *version =
             &g_array_index(versions, struct pgw_config_version, i);
 
-        lines[i] = (Pgw__ObjectVersion)PGW__OBJECT_VERSION__INIT;
-        lines[i].kind = (char *)version->kind;
-        lines[i].name = (char *)version->name;
-        lines[i].version = version->version;
-        pointers[i] = &lines[i];
+        items[i] = (Pgw__ObjectVersion)PGW__OBJECT_VERSION__INIT;
+        items[i].kind = (char *)version->kind;
+        items[i].name = (char *)version->name;
+        items[i].version = version->version;
+        pointers[i] = &items[i];
     }
     digest.summary = pgw_config_set_summary(sync->options.set);
     digest.complete = is_complete(sync);
@@ -364,7 +368,7 @@
     digest.objects = pointers;
     pgw_link_send(link, PGW_FRAME_DIGEST, &digest.base);
     g_free(pointers);
-    g_free(lines);
+    g_free(items);
     g_array_unref(versions);
 }
 
@@ -391,7 +395,7 @@
         g_array_sized_new(FALSE, FALSE, sizeof(struct pgw_config_version),
                           (guint)digest->n_objects);
     struct pgw_object_batch batch;
-    size_t newer_there;
+    size_t newer_at_peer;
 
     for (size_t i = 0; i < digest->n_covered; i++) {
         if (digest->covered[i] < PGW_CONFIG_BUCKETS) {
@@ -408,40 +412,41 @@
         g_array_append_val(peer, line);
     }
     pgw_object_batch_init(&batch, link);
-    newer_there = pgw_config_set_diff(
+    newer_at_peer = pgw_config_set_diff(
         sync->options.set, (const struct pgw_config_version *)peer->data,
         peer->len, covered, pgw_object_batch_add, &batch);
     pgw_object_batch_dispose(&batch);
     g_array_unref(peer);
-    if (newer_there == 0) {
-        /* A peer that lists nothing may know nothing: were its word taken, a
-         * process with a part of the configuration would refuse profiles that
-         * exist. When it holds what we sent, its summary says so. */
-        if (digest->n_objects > 0 && is_proof(digest->complete)) {
+    if (newer_at_peer == 0) {
+        /* An empty list may come from an empty peer. If it counted as proof,
+         * a process with part of the configuration would refuse profiles that
+         * exist. Once the peer holds the objects sent above, its summary is
+         * equal. */
+        if (digest->n_objects > 0 && proves_completeness(digest->complete)) {
             atomic_store(&sync->settled, true);
         }
-        if (pgw_link_pending(link) < SYNC_TURN_PENDING) {
-            pgw_sync_turn_end(&sync->turn, link);
+        if (pgw_link_pending(link) < TURN_MAX_PENDING_BYTES) {
+            pgw_sync_turn_release(&sync->turn, link);
         }
     }
     /*
-     * The peer compares our list in turn and sends what is newer there. Were
-     * that list answered, too, a value that one side refuses would be asked
-     * for without end and fill the link; the next periodic summary is soon
-     * enough to try again.
+     * The peer compares this list and sends its newer objects. An answer is
+     * not answered again: a value that one side refuses would be requested in
+     * an endless loop and fill the link. The next periodic summary tries
+     * again.
      */
-    if (newer_there > 0 && !digest->answer) {
+    if (newer_at_peer > 0 && !digest->answer) {
         send_versions(sync, link, covered, true);
     }
 }
 
-/* Without a copy of one's own there is nothing to compare. */
+/* An empty replica has nothing to compare, so it requests all buckets. */
 static void
-ask_for_all(struct pgw_sync *sync, struct pgw_link *link)
+request_copy(struct pgw_sync *sync, struct pgw_link *link)
 {
     bool all[PGW_CONFIG_BUCKETS];
 
-    if (pgw_sync_turn_ask(&sync->turn, pgw_now_us())) {
+    if (pgw_sync_turn_try_request_copy(&sync->turn, pgw_now_us())) {
         memset(all, true, sizeof(all));
         send_versions(sync, link, all, false);
     }
@@ -458,7 +463,7 @@
 }
 
 static void
-serve_copies(struct pgw_sync *sync)
+send_queued_copies(struct pgw_sync *sync)
 {
     struct pgw_sync_copy *copies = &sync->copies;
     struct pgw_link *link;
@@ -474,59 +479,59 @@
     } while (link != NULL);
     if (!g_queue_is_empty(&copies->waiting)) {
         pgw_timer_start(sync->options.loop, &sync->copy_timer,
-                        SYNC_COPY_CHECK_US);
+                        COPY_CHECK_INTERVAL_US);
     }
 }
 
 static void
-copies_due(struct pgw_timer *timer)
+on_copy_timer(struct pgw_timer *timer)
 {
-    serve_copies(pgw_container_of(timer, struct pgw_sync, copy_timer));
+    send_queued_copies(pgw_container_of(timer, struct pgw_sync, copy_timer));
 }
 
 /*
- * The peer holds nothing, so there is nothing to compare and it needs no turn:
- * were it to wait for one, a herd that restarts before the same peer would
- * get no copy but the first, and ask the store. It asks as soon as it hears
- * that there is something to ask for.
+ * An empty peer has nothing to compare and needs no turn. If it had to wait
+ * for one, only the first of many peers that restart together would get a
+ * copy, and the others would read the store. The digest sent here makes the
+ * peer request the copy.
  */
 static void
-take_empty(struct pgw_sync *sync, struct pgw_link *link,
-           const Pgw__Digest *digest)
+handle_empty_peer(struct pgw_sync *sync, struct pgw_link *link,
+                  const Pgw__Digest *digest)
 {
     if (digest->n_covered == 0) {
         send_digest(sync, link, NULL);
         return;
     }
-    pgw_sync_copy_ask(&sync->copies, link);
-    serve_copies(sync);
+    pgw_sync_copy_enqueue(&sync->copies, link);
+    send_queued_copies(sync);
 }
 
 static void
-take_digest(struct pgw_sync *sync, struct pgw_link *link,
-            const Pgw__Digest *digest)
+handle_digest(struct pgw_sync *sync, struct pgw_link *link,
+              const Pgw__Digest *digest)
 {
     uint64_t own[PGW_CONFIG_BUCKETS];
 
-    note_word(sync, link, digest);
+    record_peer_digest(sync, link, digest);
     if (digest->summary == pgw_config_set_summary(sync->options.set)) {
         return;
     }
 #ifndef PGW_DISABLE_SYNC_COPY
     if (digest->summary == sync->empty) {
-        take_empty(sync, link, digest);
+        handle_empty_peer(sync, link, digest);
         return;
     }
 #endif
-    pgw_sync_copy_forget(&sync->copies, link);
-    if (!pgw_sync_turn_take(&sync->turn, link, pgw_now_us())) {
+    pgw_sync_copy_remove(&sync->copies, link);
+    if (!pgw_sync_turn_acquire(&sync->turn, link, pgw_now_us())) {
         return;
     }
     if (digest->n_covered > 0) {
         compare_versions(sync, link, digest);
     }
     else if (is_empty(sync)) {
-        ask_for_all(sync, link);
+        request_copy(sync, link);
     }
     else if (digest->n_buckets == PGW_CONFIG_BUCKETS) {
         compare_buckets(sync, link, digest);
@@ -538,15 +543,16 @@
 }
 
 bool
-pgw_sync_take_frame(struct pgw_sync *sync, struct pgw_link *link,
-                    enum pgw_frame_type type, const ProtobufCMessage *message)
+pgw_sync_handle_frame(struct pgw_sync *sync, struct pgw_link *link,
+                      enum pgw_frame_type type,
+                      const ProtobufCMessage *message)
 {
     switch (type) {
     case PGW_FRAME_DIGEST:
-        take_digest(sync, link, (const Pgw__Digest *)message);
+        handle_digest(sync, link, (const Pgw__Digest *)message);
         return true;
     case PGW_FRAME_OBJECTS:
-        take_objects(sync, link, (const Pgw__Objects *)message);
+        handle_objects(sync, link, (const Pgw__Objects *)message);
         return true;
     default:
         return false;
--- a/src/libparsleygw/sync.h
+++ b/src/libparsleygw/sync.h
@@ -5,24 +5,24 @@
 #include "parsleygw/config.h"
 
 /**
- * DOC: Configuration between our processes
+ * DOC: Replication of the configuration between processes
  *
- * Each process holds a configuration set. What is new to it goes at once to a
- * few random links (push); a periodic exchange of summaries with one random
- * link repairs whatever a push missed (anti-entropy). The set applies only
- * higher versions, so order, loss and repetition do not matter.
+ * Each process holds a replica of the configuration set. A changed object is
+ * pushed at once to a few random links; a periodic exchange of summaries with
+ * one random link repairs what a push missed (anti-entropy). The set applies
+ * only higher versions, so objects may be reordered, lost or duplicated.
  */
 
 struct pgw_sync;
 
 /**
- * struct pgw_sync_options - one process's replica
- * @loop: loop of all its links
+ * struct pgw_sync_options - options of a replica
+ * @loop: event loop of all its links
  * @set: the objects; owned by the caller, used on the loop's thread only
- * @on_change: some object changed; called once a loop turn at most
- * @context: handed to @on_change
+ * @on_change: called after objects changed, at most once per loop iteration
+ * @context: passed to @on_change
  * @interval_us: mean time between two exchanges of summaries
- * @push_links: links that a change is pushed to
+ * @push_links: number of links that a change is pushed to
  */
 struct pgw_sync_options {
     struct pgw_loop *loop;
@@ -41,54 +41,58 @@
 struct pgw_sync *pgw_sync_new(const struct pgw_sync_options *options);
 void pgw_sync_free(struct pgw_sync *sync);
 
-/** pgw_sync_add_link() - a peer said Hello: exchange with it from now on */
+/** pgw_sync_add_link() - start to exchange with a peer that sent Hello */
 void pgw_sync_add_link(struct pgw_sync *sync, struct pgw_link *link);
 
-/** pgw_sync_remove_link() - the link is closing; unknown links are ignored */
+/** pgw_sync_remove_link() - remove a closing link; unknown links are ignored
+ */
 void pgw_sync_remove_link(struct pgw_sync *sync, struct pgw_link *link);
 
 /**
- * pgw_sync_take_frame() - handle a frame of a link
+ * pgw_sync_handle_frame() - handle a frame received on a link
  * @sync: the replica
- * @link: where it came from
+ * @link: the link that received it
  * @type: the frame's type
  * @message: the message, not consumed
  *
- * Return: false when the type is none of its own.
+ * Return: false if frames of this type are not part of replication.
  */
-bool pgw_sync_take_frame(struct pgw_sync *sync, struct pgw_link *link,
-                         enum pgw_frame_type type,
-                         const ProtobufCMessage *message);
+bool pgw_sync_handle_frame(struct pgw_sync *sync, struct pgw_link *link,
+                           enum pgw_frame_type type,
+                           const ProtobufCMessage *message);
 
-/** pgw_sync_note_listed() - each kind was read from the store as a whole */
-void pgw_sync_note_listed(struct pgw_sync *sync);
+/** pgw_sync_mark_listed() - all kinds were listed from the store */
+void pgw_sync_mark_listed(struct pgw_sync *sync);
 
-/** pgw_sync_note_seeded() - the set holds a whole copy that an operator gave
+/** pgw_sync_mark_seeded() - the set holds a full copy from a bootstrap file
  */
-void pgw_sync_note_seeded(struct pgw_sync *sync);
+void pgw_sync_mark_seeded(struct pgw_sync *sync);
 
 /**
- * pgw_sync_is_settled() - all was read from the store, or a peer that holds
- *                         all was found to hold nothing newer than we do
+ * pgw_sync_is_settled() - whether the replica is known to be complete
  * @sync: the replica
  *
- * Before that a process that starts has a part of the configuration at most:
- * it would refuse a profile that exists. Any thread; never false again.
+ * True once all kinds were listed from the store, or a peer with a complete
+ * replica turned out to hold nothing newer. Before that, a starting process
+ * may hold only part of the configuration and would refuse a profile that
+ * exists. May be called by any thread; once true, stays true.
  */
 bool pgw_sync_is_settled(const struct pgw_sync *sync);
 
 /**
- * pgw_sync_offer() - an object read from the store
+ * pgw_sync_apply_object() - apply an object read from the store
  * @sync: the replica
  * @kind: kind of the object
  * @name: its name
  * @version: the store's version
  * @value: JSON text; NULL: deleted
- * @fresh: a change just made, to be pushed on; not one of a whole list
+ * @is_new_change: a change just made, which is pushed to peers; false for an
+ *   object of a full list
  * @error: as pgw_config_set_apply()
  */
-bool pgw_sync_offer(struct pgw_sync *sync, const char *kind, const char *name,
-                    uint64_t version, const char *value, bool fresh,
-                    GError **error);
+bool pgw_sync_apply_object(struct pgw_sync *sync, const char *kind,
+                           const char *name, uint64_t version,
+                           const char *value, bool is_new_change,
+                           GError **error);
 
 #endif
--- a/src/libparsleygw/sync_copy.c
+++ b/src/libparsleygw/sync_copy.c
@@ -1,7 +1,7 @@
 #include "libparsleygw/sync_copy.h"
 
 void
-pgw_sync_copy_ask(struct pgw_sync_copy *copy, void *link)
+pgw_sync_copy_enqueue(struct pgw_sync_copy *copy, void *link)
 {
     if (g_queue_find(&copy->waiting, link) == NULL) {
         g_queue_push_tail(&copy->waiting, link);
@@ -9,7 +9,7 @@
 }
 
 void
-pgw_sync_copy_forget(struct pgw_sync_copy *copy, const void *link)
+pgw_sync_copy_remove(struct pgw_sync_copy *copy, const void *link)
 {
     g_queue_remove(&copy->waiting, link);
     if (copy->current == link) {
@@ -20,11 +20,11 @@
 void *
 pgw_sync_copy_next(struct pgw_sync_copy *copy, size_t pending, uint64_t now_us)
 {
-    if (copy->current != NULL && pending >= PGW_SYNC_COPY_PENDING &&
-        now_us - copy->began_us < PGW_SYNC_COPY_MOST_US) {
+    if (copy->current != NULL && pending >= PGW_SYNC_COPY_MAX_PENDING_BYTES &&
+        now_us - copy->started_us < PGW_SYNC_COPY_TIMEOUT_US) {
         return NULL;
     }
     copy->current = g_queue_pop_head(&copy->waiting);
-    copy->began_us = now_us;
+    copy->started_us = now_us;
     return copy->current;
 }
--- a/src/libparsleygw/sync_copy.h
+++ b/src/libparsleygw/sync_copy.h
@@ -9,31 +9,32 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Whole copies are sent to one peer after another
+ * DOC: Queue of peers that wait for a full copy
  *
- * Processes that restart together ask the same peer for its whole copy within
- * milliseconds. Sent at once to all, the copies would fill the queues of the
- * links with hundreds of megabytes; so the next one waits until most of the
- * last one is out. Whoever asked stays in the queue: were it dropped, it would
- * stay empty and ask the store, as all the others would. Pure: the clock and
- * the bytes still queued are passed in.
+ * Processes that restart together request a full copy from the same peer
+ * within milliseconds. Sending all copies at once would fill the send queues
+ * of the links with hundreds of megabytes, so the next copy is sent only when
+ * most of the previous one has been transmitted. No request is dropped: a
+ * process without a copy would stay empty and read the store, and so would all
+ * the others. The functions are pure: the time and the number of pending bytes
+ * are passed in.
  */
 
-/* More than this still queued for a peer keeps the next one waiting. */
-#define PGW_SYNC_COPY_PENDING ((size_t)1 << 20)
-/* One that takes nothing for so long is not waited for. */
-#define PGW_SYNC_COPY_MOST_US UINT64_C(1000000)
+/* The next copy waits while this much is pending on the current link. */
+#define PGW_SYNC_COPY_MAX_PENDING_BYTES ((size_t)1 << 20)
+/* After this time the next copy is sent even if the current link is stuck. */
+#define PGW_SYNC_COPY_TIMEOUT_US UINT64_C(1000000)
 
 /**
- * struct pgw_sync_copy - who gets a copy, in order
- * @waiting: links that asked
- * @current: the last one that was served; NULL: it needs no time any more
- * @began_us: when it was served
+ * struct pgw_sync_copy - links that wait for a full copy, in order
+ * @waiting: links that requested a copy
+ * @current: link that was sent the last copy; NULL: none to wait for
+ * @started_us: when that copy was sent
  */
 struct pgw_sync_copy {
     GQueue waiting;
     void *current;
-    uint64_t began_us;
+    uint64_t started_us;
 };
 
 #define PGW_SYNC_COPY_INIT                                                    \
@@ -41,19 +42,19 @@
         .waiting = G_QUEUE_INIT                                               \
     }
 
-/** pgw_sync_copy_ask() - @link asks; one that waits already is not added */
-void pgw_sync_copy_ask(struct pgw_sync_copy *copy, void *link);
+/** pgw_sync_copy_enqueue() - add @link unless it is queued already */
+void pgw_sync_copy_enqueue(struct pgw_sync_copy *copy, void *link);
 
-/** pgw_sync_copy_forget() - @link needs no copy any more, or is closing */
-void pgw_sync_copy_forget(struct pgw_sync_copy *copy, const void *link);
+/** pgw_sync_copy_remove() - @link needs no copy any more or is closing */
+void pgw_sync_copy_remove(struct pgw_sync_copy *copy, const void *link);
 
 /**
- * pgw_sync_copy_next() - whom to send a copy now
- * @copy: the queue, which it leaves
- * @pending: bytes still queued for @current, if there is one
+ * pgw_sync_copy_next() - take the next link to send a copy to
+ * @copy: the queue; the returned link is removed from it
+ * @pending: bytes not sent yet on @current, if there is one
  * @now_us: present time
  *
- * Return: a link, or NULL: nobody waits, or not yet.
+ * Return: a link; NULL if none waits or the current copy is still being sent.
  */
 void *pgw_sync_copy_next(struct pgw_sync_copy *copy, size_t pending,
                          uint64_t now_us);
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -148,6 +148,6 @@
         }
     }
     if (batch->whole && is_complete(batch, set)) {
-        pgw_config_set_listed(set, batch->kind, batch->list.version);
+        pgw_config_set_mark_listed(set, batch->kind, batch->list.version);
     }
 }
--- a/src/sidecar/peer.c
+++ b/src/sidecar/peer.c
@@ -91,7 +91,7 @@
                                 (const Pgw__Objects *)message);
         break;
     default:
-        if (!pgw_sync_take_frame(peer->sidecar->sync, link, type, message)) {
+        if (!pgw_sync_handle_frame(peer->sidecar->sync, link, type, message)) {
             pgw_log_warning("frame_unexpected", "type=%d entry=%s", type,
                             peer->instance);
             pgw_link_close(link);
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -66,7 +66,7 @@
     sidecar->config = config;
     take_declaration(sidecar);
     if (sidecar->feed != NULL) {
-        pgw_config_feed_changed(sidecar->feed, config);
+        pgw_config_feed_update(sidecar->feed, config);
     }
     orders_config_changed(sidecar->orders);
     pgw_trace_record(sidecar->trace, PGW_TRACE_CONFIG_APPLY, NULL, 0,
@@ -171,7 +171,7 @@
 sidecar_push_state(struct sidecar *sidecar)
 {
     view_update(sidecar);
-    pgw_config_feed_trace(sidecar->feed, sidecar->trace);
+    pgw_config_feed_report_store_state(sidecar->feed, sidecar->trace);
     pgw_list_foreach (link, &sidecar->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, link);
 
@@ -194,7 +194,7 @@
     uint64_t now = pgw_now_us();
 
     view_update(sidecar);
-    pgw_config_feed_trace(sidecar->feed, sidecar->trace);
+    pgw_config_feed_report_store_state(sidecar->feed, sidecar->trace);
     pgw_list_foreach (link, &sidecar->peers) {
         struct peer *peer = pgw_container_of(link, struct peer, link);
         uint64_t quiet = now - pgw_link_sent_us(peer->connection);
@@ -313,7 +313,7 @@
     if (sidecar->feed == NULL) {
         return false;
     }
-    pgw_config_feed_changed(sidecar->feed, sidecar->config);
+    pgw_config_feed_update(sidecar->feed, sidecar->config);
     return true;
 }
 
@@ -365,7 +365,7 @@
                                       error)) {
             goto fail;
         }
-        pgw_sync_note_seeded(sidecar->sync);
+        pgw_sync_mark_seeded(sidecar->sync);
     }
     config_changed(sidecar);
     if (!feed_init(sidecar, error)) {
--- a/tests/property/prop_member.cc
+++ b/tests/property/prop_member.cc
@@ -72,14 +72,14 @@
 void
 take_word(Fixture &fixture, Model &model)
 {
-    struct pgw_member_word word = {};
+    struct pgw_member_status word = {};
     // Words of older and of never seen processes must not count.
     uint64_t incarnation =
         *rc::gen::inRange<uint64_t>(1, model.incarnation + 3);
 
     word.leaving = *rc::gen::inRange(0, 3) == 0;
     word.upstream_alive = *rc::gen::arbitrary<bool>();
-    pgw_members_said(fixture.members, "a", incarnation, &word);
+    pgw_members_apply_status(fixture.members, "a", incarnation, &word);
     if (incarnation == model.incarnation) {
         model.said_leaving |= word.leaving;
     }
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -101,21 +101,22 @@
 static void
 test_leaving(void)
 {
-    struct pgw_member_word staying = {.upstream_alive = true};
-    struct pgw_member_word leaving = {.leaving = true, .upstream_alive = true};
-    struct pgw_member_word dead = {.upstream_alive = false};
+    struct pgw_member_status staying = {.upstream_alive = true};
+    struct pgw_member_status leaving = {.leaving = true,
+                                        .upstream_alive = true};
+    struct pgw_member_status dead = {.upstream_alive = false};
     struct fixture fixture;
 
     fixture_init(&fixture);
     pgw_members_connected(fixture.members, "a", 1);
-    pgw_members_said(fixture.members, "a", 1, &dead);
+    pgw_members_apply_status(fixture.members, "a", 1, &dead);
     assert_state(&fixture, "a", "suspect");
-    pgw_members_said(fixture.members, "a", 1, &leaving);
-    pgw_members_said(fixture.members, "a", 1, &staying);
+    pgw_members_apply_status(fixture.members, "a", 1, &leaving);
+    pgw_members_apply_status(fixture.members, "a", 1, &staying);
     list(&fixture, "live", 10);
     assert_state(&fixture, "a", "leaving");
     pgw_members_connected(fixture.members, "a", 2);
-    pgw_members_said(fixture.members, "a", 1, &leaving);
+    pgw_members_apply_status(fixture.members, "a", 1, &leaving);
     assert_state(&fixture, "a", "usable");
 
     /* The list's word, too, stays with the incarnation that it met. */
@@ -139,7 +140,7 @@
 static void
 test_views(void)
 {
-    struct pgw_member_word word = {
+    struct pgw_member_status word = {
         .upstream_alive = true, .engine = 7, .weights = "w2"};
     struct fixture fixture;
     struct pgw_member_view *first;
@@ -154,7 +155,7 @@
     g_assert_true(first == second);
     pgw_member_view_unref(second);
     pgw_members_connected(fixture.members, "b", 5);
-    pgw_members_said(fixture.members, "b", 5, &word);
+    pgw_members_apply_status(fixture.members, "b", 5, &word);
     second = pgw_members_build(fixture.members);
     g_assert_cmpuint(pgw_member_view_version(second), ==,
                      pgw_member_view_version(first) + 1);
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -1,4 +1,4 @@
-/* Replicas of the configuration over links of one loop. */
+/* Replication of the configuration over links of one event loop. */
 #include <string.h>
 
 #include "libparsleygw/sync.h"
@@ -8,7 +8,7 @@
 #define POOL "{\"type\":\"model\",\"model\":\"m\",\"version\":\"w%u\"}"
 
 /**
- * struct replica - one process in miniature: a listener and links to others
+ * struct replica - replica of one process with its listener and links
  */
 struct replica {
     struct pgw_loop *loop;
@@ -20,7 +20,7 @@
     unsigned frames;
     size_t objects; /* received */
     bool watches_settled;
-    bool settled_by_empty; /* after a list of versions without any */
+    bool settled_by_empty_list; /* by an empty list of versions */
 };
 
 struct fleet {
@@ -41,11 +41,11 @@
     if (type == PGW_FRAME_OBJECTS) {
         replica->objects += ((const Pgw__Objects *)message)->n_objects;
     }
-    g_assert_true(pgw_sync_take_frame(replica->sync, link, type, message));
+    g_assert_true(pgw_sync_handle_frame(replica->sync, link, type, message));
     if (replica->watches_settled && type == PGW_FRAME_DIGEST &&
         ((const Pgw__Digest *)message)->n_covered > 0 &&
         ((const Pgw__Digest *)message)->n_objects == 0) {
-        replica->settled_by_empty |= pgw_sync_is_settled(replica->sync);
+        replica->settled_by_empty_list |= pgw_sync_is_settled(replica->sync);
     }
     return false;
 }
@@ -82,7 +82,7 @@
 }
 
 static void
-join(struct replica *from, struct replica *to)
+connect_to(struct replica *from, struct replica *to)
 {
     struct pgw_address address;
     char *text =
@@ -100,7 +100,7 @@
 }
 
 static void
-check_due(struct pgw_timer *timer)
+on_check_timer(struct pgw_timer *timer)
 {
     struct fleet *fleet = pgw_container_of(timer, struct fleet, check);
 
@@ -122,7 +122,7 @@
     g_assert_true(pgw_address_parse(&any, "127.0.0.1:0", NULL));
     fleet->loop = pgw_loop_new(NULL);
     fleet->is_done = is_done;
-    fleet->check.on_due = check_due;
+    fleet->check.on_due = on_check_timer;
     pgw_timer_start(fleet->loop, &fleet->check, 1000);
     options.loop = fleet->loop;
     options.on_change = on_change;
@@ -170,23 +170,24 @@
 }
 
 static void
-offer(struct replica *replica, const char *name, uint64_t version)
+apply_pool(struct replica *replica, const char *name, uint64_t version)
 {
     char *value = g_strdup_printf(POOL, (unsigned)version);
     GError *error = NULL;
 
-    pgw_sync_offer(replica->sync, "pool", name, version, value, true, &error);
+    pgw_sync_apply_object(replica->sync, "pool", name, version, value, true,
+                          &error);
     g_assert_no_error(error);
     g_free(value);
 }
 
 static void
-offer_many(struct replica *replica, unsigned count)
+apply_pools(struct replica *replica, unsigned count)
 {
     for (unsigned i = 0; i < count; i++) {
         char *name = g_strdup_printf("pool-%u", i);
 
-        offer(replica, name, i + 1);
+        apply_pool(replica, name, i + 1);
         g_free(name);
     }
 }
@@ -204,8 +205,8 @@
     return true;
 }
 
-/* In a line of three, each holds something newer and something older than
- * the others; all end with the highest version of everything. */
+/* Three replicas in a chain, each with newer and older objects than the
+ * others, converge to the highest version of every object. */
 static void
 test_replicas_converge(void)
 {
@@ -215,15 +216,15 @@
     for (unsigned i = 0; i < REPLICAS; i++) {
         char *own = g_strdup_printf("own-%u", i);
 
-        offer(&all[i], "shared", 10 + i);
-        offer(&all[i], own, 100 + i);
+        apply_pool(&all[i], "shared", 10 + i);
+        apply_pool(&all[i], own, 100 + i);
         g_free(own);
     }
-    offer(&all[0], "gone", 5);
-    g_assert_true(
-        pgw_sync_offer(all[2].sync, "pool", "gone", 6, NULL, true, NULL));
-    join(&all[0], &all[1]);
-    join(&all[1], &all[2]);
+    apply_pool(&all[0], "gone", 5);
+    g_assert_true(pgw_sync_apply_object(all[2].sync, "pool", "gone", 6, NULL,
+                                        true, NULL));
+    connect_to(&all[0], &all[1]);
+    connect_to(&all[1], &all[2]);
     pgw_loop_run(fleet->loop);
     for (unsigned i = 0; i < REPLICAS; i++) {
         g_assert_cmpuint(pgw_config_set_count(all[i].set), ==, 4);
@@ -235,7 +236,7 @@
     fleet_free(fleet);
 }
 
-/* Whoever is settled holds all that its peer holds. */
+/* A settled replica holds all objects of its peer. */
 static bool
 all_agree_and_settle(struct fleet *fleet)
 {
@@ -248,26 +249,26 @@
     return settled && all_agree(fleet);
 }
 
-/* A process that starts empty gets a large configuration, in several frames,
- * from the only peer that it knows. */
+/* An empty replica receives a large configuration, in several frames, from its
+ * only peer. */
 static void
 test_late_starter_catches_up(void)
 {
     struct fleet *fleet = fleet_new(all_agree_and_settle);
     struct replica *all = fleet->replicas;
 
-    offer_many(&all[0], 2000);
-    pgw_sync_note_listed(all[0].sync);
+    apply_pools(&all[0], 2000);
+    pgw_sync_mark_listed(all[0].sync);
     g_assert_false(pgw_sync_is_settled(all[1].sync));
-    join(&all[1], &all[0]);
-    join(&all[2], &all[1]);
+    connect_to(&all[1], &all[0]);
+    connect_to(&all[2], &all[1]);
     pgw_loop_run(fleet->loop);
     g_assert_cmpuint(pgw_config_set_count(all[2].set), ==, 2000);
     fleet_free(fleet);
 }
 
 static bool
-third_settles(struct fleet *fleet)
+third_is_settled(struct fleet *fleet)
 {
     struct replica *all = fleet->replicas;
     bool whole = pgw_config_set_count(all[0].set) == 7;
@@ -276,43 +277,44 @@
         g_assert_true(whole);
         return true;
     }
-    /* They agree on a part for some turns, then the rest is read. */
+    /* The replicas hold equal partial sets for a while before the rest of the
+     * list arrives from the store. */
     if (!whole && all_agree(fleet) && fleet->checks > 100) {
-        offer_many(&all[0], 7);
-        pgw_sync_note_listed(all[0].sync);
+        apply_pools(&all[0], 7);
+        pgw_sync_mark_listed(all[0].sync);
     }
     return false;
 }
 
-/* A fleet starts together: the one that reads the store holds a part so far,
- * and whoever agrees with it knows that it is no more than that. */
+/* All replicas start together, and the one that reads the store is still
+ * partial. A peer with an equal set does not count as complete either. */
 static void
-test_part_settles_nobody(void)
+test_partial_replica_settles_no_peer(void)
 {
-    struct fleet *fleet = fleet_new(third_settles);
+    struct fleet *fleet = fleet_new(third_is_settled);
     struct replica *all = fleet->replicas;
 
-    offer_many(&all[0], 5);
-    join(&all[1], &all[0]);
-    join(&all[2], &all[1]);
+    apply_pools(&all[0], 5);
+    connect_to(&all[1], &all[0]);
+    connect_to(&all[2], &all[1]);
     pgw_loop_run(fleet->loop);
     g_assert_cmpuint(pgw_config_set_count(all[2].set), ==, 7);
     fleet_free(fleet);
 }
 
-/* One that starts empty before several peers takes the copy of one: what it
- * receives in objects stays near one copy, however many greet it. */
+/* An empty replica with many links requests the full copy from one peer: the
+ * number of received objects stays below three copies. */
 static void
-test_starter_takes_one_copy(void)
+test_starter_requests_one_copy(void)
 {
     struct fleet *fleet = fleet_new(all_agree);
     struct replica *all = fleet->replicas;
 
-    offer_many(&all[0], 500);
+    apply_pools(&all[0], 500);
     for (unsigned i = 0; i < MANY_LINKS; i++) {
-        join(&all[1], &all[0]);
+        connect_to(&all[1], &all[0]);
     }
-    join(&all[2], &all[1]);
+    connect_to(&all[2], &all[1]);
     pgw_loop_run(fleet->loop);
     g_assert_cmpuint(all[1].objects, >=, 500);
     g_assert_cmpuint(all[1].objects, <, 3 * 500);
@@ -325,28 +327,28 @@
     return pgw_config_set_count(fleet->replicas[2].set) == 5;
 }
 
-/* One that holds a part only does not take the word of a peer that starts
- * with nothing for the sign that it holds all. */
+/* A partial replica does not become settled by the empty list of a peer that
+ * starts empty. */
 static void
-test_empty_peer_settles_nobody(void)
+test_empty_peer_settles_no_peer(void)
 {
     struct fleet *fleet = fleet_new(third_has_all);
     struct replica *all = fleet->replicas;
 
-    offer_many(&all[1], 5);
+    apply_pools(&all[1], 5);
     all[1].watches_settled = true;
-    /* Even if it takes the nothing that it holds for all. */
-    pgw_sync_note_seeded(all[2].sync);
-    join(&all[2], &all[1]);
+    /* Not even if the empty peer claims to be complete. */
+    pgw_sync_mark_seeded(all[2].sync);
+    connect_to(&all[2], &all[1]);
     pgw_loop_run(fleet->loop);
-    g_assert_false(all[1].settled_by_empty);
+    g_assert_false(all[1].settled_by_empty_list);
     fleet_free(fleet);
 }
 
-/* A peer of another program version, whose one object the replicas refuse:
- * it answers as the protocol says. */
+/* A peer of another program version. It follows the protocol, but its only
+ * object is refused by the replicas. */
 static void
-newer_send_versions(struct pgw_link *link)
+refused_peer_send_versions(struct pgw_link *link)
 {
     uint32_t bucket = pgw_config_bucket("pool", "bad");
     Pgw__ObjectVersion version = PGW__OBJECT_VERSION__INIT;
@@ -365,7 +367,7 @@
 }
 
 static void
-newer_send_object(struct pgw_link *link)
+refused_peer_send_object(struct pgw_link *link)
 {
     char bad[] = "{\"type\":\"model\",\"model\":7}";
     Pgw__Object object = PGW__OBJECT__INIT;
@@ -382,42 +384,42 @@
     pgw_link_send(link, PGW_FRAME_OBJECTS, &objects.base);
 }
 
-struct newer_peer {
-    unsigned rounds;
-    unsigned asked;
+struct refused_peer {
+    unsigned summaries;
+    unsigned requests;
 };
 
 static bool
-newer_on_frame(struct pgw_link *link, enum pgw_frame_type type,
-               ProtobufCMessage *message, void *context)
+refused_peer_on_frame(struct pgw_link *link, enum pgw_frame_type type,
+                      ProtobufCMessage *message, void *context)
 {
-    struct newer_peer *peer = context;
+    struct refused_peer *peer = context;
 
     if (type != PGW_FRAME_DIGEST) {
         return false;
     }
     if (((const Pgw__Digest *)message)->n_covered > 0) {
-        peer->asked++;
-        newer_send_object(link);
+        peer->requests++;
+        refused_peer_send_object(link);
     }
     else {
-        peer->rounds++;
-        newer_send_versions(link);
+        peer->summaries++;
+        refused_peer_send_versions(link);
     }
     return false;
 }
 
 static void
-newer_on_closed(struct pgw_link *link, const GError *error, void *context)
+peer_on_closed(struct pgw_link *link, const GError *error, void *context)
 {
     (void)link;
     (void)error;
     (void)context;
 }
 
-static const struct pgw_link_ops newer_ops = {
-    .on_frame = newer_on_frame,
-    .on_closed = newer_on_closed,
+static const struct pgw_link_ops refused_peer_ops = {
+    .on_frame = refused_peer_on_frame,
+    .on_closed = peer_on_closed,
 };
 
 static bool
@@ -426,49 +428,51 @@
     return fleet->checks > 200;
 }
 
-/* The refused object is asked for once in each periodic exchange, not again
- * as soon as it was refused, which would fill the link; other objects travel
- * on as ever. */
+/* A refused object is requested at most once per periodic exchange; requesting
+ * it again at once would loop and fill the link. Other objects are still
+ * replicated. */
 static void
 test_refused_value_does_not_loop(void)
 {
     struct fleet *fleet = fleet_new(many_checks_passed);
     struct replica *all = fleet->replicas;
-    struct newer_peer peer = {0};
+    struct refused_peer peer = {0};
     struct pgw_address address;
     struct pgw_link *link;
     char *text =
         g_strdup_printf("127.0.0.1:%u", pgw_listener_port(all[1].listener));
 
     g_assert_true(pgw_address_parse(&address, text, NULL));
-    link = pgw_link_connect(fleet->loop, &address, &newer_ops, &peer, NULL);
-    offer(&all[0], "good", 1);
-    join(&all[0], &all[1]);
+    link = pgw_link_connect(fleet->loop, &address, &refused_peer_ops, &peer,
+                            NULL);
+    apply_pool(&all[0], "good", 1);
+    connect_to(&all[0], &all[1]);
     pgw_loop_run(fleet->loop);
     g_assert_cmpuint(pgw_config_set_version(all[1].set, "pool", "good"), ==,
                      1);
     g_assert_cmpuint(pgw_config_set_version(all[1].set, "pool", "bad"), ==, 0);
-    g_assert_cmpuint(peer.asked, >, 0);
-    g_assert_cmpuint(peer.asked, <=, peer.rounds);
+    g_assert_cmpuint(peer.requests, >, 0);
+    g_assert_cmpuint(peer.requests, <=, peer.summaries);
     pgw_link_close(link);
     fleet_free(fleet);
     g_free(text);
 }
 
-/* A peer that says only what its test lets it say. */
+/* A peer that sends only the digests that the test chooses. */
 struct scripted_peer {
-    size_t objects;   /* received */
-    unsigned details; /* bucket hashes received */
-    unsigned asks;    /* for a whole copy */
+    size_t objects;         /* received */
+    unsigned details;       /* bucket hashes received */
+    unsigned copy_requests; /* requests for a full copy */
 };
 
 static void
-scripted_say(struct pgw_link *link, uint64_t summary, bool asks)
+scripted_send_digest(struct pgw_link *link, uint64_t summary,
+                     bool requests_copy)
 {
     Pgw__Digest digest = PGW__DIGEST__INIT;
     uint32_t covered[PGW_CONFIG_BUCKETS];
 
-    for (uint32_t i = 0; asks && i < PGW_CONFIG_BUCKETS; i++) {
+    for (uint32_t i = 0; requests_copy && i < PGW_CONFIG_BUCKETS; i++) {
         covered[digest.n_covered++] = i;
     }
     digest.covered = covered;
@@ -476,7 +480,7 @@
     pgw_link_send(link, PGW_FRAME_DIGEST, &digest.base);
 }
 
-/* Its answer to a summary is a summary; it answers no question. */
+/* It answers a summary with a summary and ignores all requests. */
 static bool
 scripted_on_frame(struct pgw_link *link, enum pgw_frame_type type,
                   ProtobufCMessage *message, void *context)
@@ -487,24 +491,24 @@
         peer->objects += ((const Pgw__Objects *)message)->n_objects;
     }
     else if (((const Pgw__Digest *)message)->n_covered > 0) {
-        peer->asks++;
+        peer->copy_requests++;
     }
     else if (((const Pgw__Digest *)message)->n_buckets > 0) {
         peer->details++;
     }
     else {
-        scripted_say(link, 1, false);
+        scripted_send_digest(link, 1, false);
     }
     return false;
 }
 
 static const struct pgw_link_ops scripted_ops = {
     .on_frame = scripted_on_frame,
-    .on_closed = newer_on_closed,
+    .on_closed = peer_on_closed,
 };
 
 static struct pgw_link *
-scripted_join(struct replica *to, struct scripted_peer *peer)
+scripted_connect(struct replica *to, struct scripted_peer *peer)
 {
     struct pgw_address address;
     char *text =
@@ -519,64 +523,65 @@
 }
 
 static struct scripted_peer slow_peer;
-static struct scripted_peer askers[2];
-static struct pgw_link *asking[2];
+static struct scripted_peer requesters[2];
+static struct pgw_link *requester_links[2];
 
-/* They ask as soon as the slow one has its turn. */
+/* The requesters connect as soon as the slow peer has its turn. */
 static bool
-askers_are_served(struct fleet *fleet)
+requesters_have_copies(struct fleet *fleet)
 {
     struct replica *hub = &fleet->replicas[0];
     bool served = true;
 
     for (unsigned i = 0; slow_peer.details > 0 && i < 2; i++) {
-        if (asking[i] == NULL) {
-            asking[i] = scripted_join(hub, &askers[i]);
-            scripted_say(asking[i],
-                         pgw_config_set_summary(fleet->replicas[1].set), true);
+        if (requester_links[i] == NULL) {
+            requester_links[i] = scripted_connect(hub, &requesters[i]);
+            scripted_send_digest(
+                requester_links[i],
+                pgw_config_set_summary(fleet->replicas[1].set), true);
         }
     }
     for (unsigned i = 0; i < 2; i++) {
-        served &= askers[i].objects > 0;
+        served &= requesters[i].objects > 0;
     }
     return served;
 }
 
-/* Two that start empty ask the same peer, once, while a third has its turn
- * there and is slow: both get their copy. */
+/* Two empty peers each send one request to the same replica while a slow third
+ * peer has its turn there: both get their copy. */
 static void
-test_no_asker_is_dropped(void)
+test_no_request_is_dropped(void)
 {
-    struct fleet *fleet = fleet_new(askers_are_served);
+    struct fleet *fleet = fleet_new(requesters_have_copies);
     struct pgw_link *slow;
 
-    offer_many(&fleet->replicas[0], 5);
-    slow = scripted_join(&fleet->replicas[0], &slow_peer);
+    apply_pools(&fleet->replicas[0], 5);
+    slow = scripted_connect(&fleet->replicas[0], &slow_peer);
     pgw_loop_run(fleet->loop);
     for (unsigned i = 0; i < 2; i++) {
-        g_assert_cmpuint(askers[i].objects, ==, 5);
-        pgw_link_close(asking[i]);
+        g_assert_cmpuint(requesters[i].objects, ==, 5);
+        pgw_link_close(requester_links[i]);
     }
     pgw_link_close(slow);
     fleet_free(fleet);
 }
 
 static bool
-asked_again(struct fleet *fleet)
+is_requested_again(struct fleet *fleet)
 {
     (void)fleet;
-    return slow_peer.asks >= 2;
+    return slow_peer.copy_requests >= 2;
 }
 
-/* A peer that did not answer is asked again, though it is the only one. */
+/* A full copy is requested again from an only peer that did not answer. */
 static void
-test_asks_again(void)
+test_request_is_repeated(void)
 {
-    struct fleet *fleet = fleet_new(asked_again);
+    struct fleet *fleet = fleet_new(is_requested_again);
     struct pgw_link *link;
 
     slow_peer = (struct scripted_peer){0};
-    link = scripted_join(&fleet->replicas[0], &slow_peer);
+    link = scripted_connect(&fleet->replicas[0], &slow_peer);
     pgw_loop_run(fleet->loop);
     pgw_link_close(link);
     fleet_free(fleet);
@@ -589,14 +594,15 @@
     g_test_add_func("/sync/replicas-converge", test_replicas_converge);
     g_test_add_func("/sync/late-starter-catches-up",
                     test_late_starter_catches_up);
-    g_test_add_func("/sync/part-settles-nobody", test_part_settles_nobody);
-    g_test_add_func("/sync/starter-takes-one-copy",
-                    test_starter_takes_one_copy);
-    g_test_add_func("/sync/empty-peer-settles-nobody",
-                    test_empty_peer_settles_nobody);
+    g_test_add_func("/sync/partial-replica-settles-no-peer",
+                    test_partial_replica_settles_no_peer);
+    g_test_add_func("/sync/starter-requests-one-copy",
+                    test_starter_requests_one_copy);
+    g_test_add_func("/sync/empty-peer-settles-no-peer",
+                    test_empty_peer_settles_no_peer);
     g_test_add_func("/sync/refused-value-does-not-loop",
                     test_refused_value_does_not_loop);
-    g_test_add_func("/sync/no-asker-is-dropped", test_no_asker_is_dropped);
-    g_test_add_func("/sync/asks-again", test_asks_again);
+    g_test_add_func("/sync/no-request-is-dropped", test_no_request_is_dropped);
+    g_test_add_func("/sync/request-is-repeated", test_request_is_repeated);
     return g_test_run();
 }
--- a/tests/unit/test_sync_copy.c
+++ b/tests/unit/test_sync_copy.c
@@ -1,47 +1,47 @@
-/* Who gets a whole copy, and when: the queue without links. */
+/* Order and timing of full copies, tested without real links. */
 #include "libparsleygw/sync_copy.h"
 
 #define NOW UINT64_C(5000000)
 
 static char links[3];
 
-/* Each link that asked is served once, in order, as long as little is queued.
- */
+/* Each queued link gets one copy, in order, while little data is pending. */
 static void
 test_order(void)
 {
     struct pgw_sync_copy copy = PGW_SYNC_COPY_INIT;
 
-    pgw_sync_copy_ask(&copy, &links[0]);
-    pgw_sync_copy_ask(&copy, &links[1]);
-    pgw_sync_copy_ask(&copy, &links[0]);
-    pgw_sync_copy_ask(&copy, &links[2]);
-    pgw_sync_copy_forget(&copy, &links[1]);
+    pgw_sync_copy_enqueue(&copy, &links[0]);
+    pgw_sync_copy_enqueue(&copy, &links[1]);
+    pgw_sync_copy_enqueue(&copy, &links[0]);
+    pgw_sync_copy_enqueue(&copy, &links[2]);
+    pgw_sync_copy_remove(&copy, &links[1]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[0]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[2]);
     g_assert_null(pgw_sync_copy_next(&copy, 0, NOW));
     g_assert_null(copy.current);
 }
 
-/* The next one waits while much is queued for the last, unless that takes
- * nothing or is gone. */
+/* The next link waits while much data is pending on the current one, until
+ * that one times out or closes. */
 static void
 test_waits(void)
 {
     struct pgw_sync_copy copy = PGW_SYNC_COPY_INIT;
 
     for (unsigned i = 0; i < 3; i++) {
-        pgw_sync_copy_ask(&copy, &links[i]);
+        pgw_sync_copy_enqueue(&copy, &links[i]);
     }
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[0]);
-    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING, NOW + 1));
+    g_assert_null(
+        pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES, NOW + 1));
     g_assert_true(copy.current == &links[0]);
-    g_assert_true(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING,
-                                     NOW + PGW_SYNC_COPY_MOST_US) ==
+    g_assert_true(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES,
+                                     NOW + PGW_SYNC_COPY_TIMEOUT_US) ==
                   &links[1]);
-    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_PENDING,
-                                     NOW + PGW_SYNC_COPY_MOST_US));
-    pgw_sync_copy_forget(&copy, &links[1]);
+    g_assert_null(pgw_sync_copy_next(&copy, PGW_SYNC_COPY_MAX_PENDING_BYTES,
+                                     NOW + PGW_SYNC_COPY_TIMEOUT_US));
+    pgw_sync_copy_remove(&copy, &links[1]);
     g_assert_true(pgw_sync_copy_next(&copy, 0, NOW) == &links[2]);
 }
 
@@ -49,7 +49,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/sync-copy/order", test_order);
-    g_test_add_func("/sync-copy/waits", test_waits);
+    g_test_add_func("/sync-copy/sent-once-in-order", test_order);
+    g_test_add_func("/sync-copy/waits-for-current-link", test_waits);
     return g_test_run();
 }
