--- a/src/libparsleygw/member.c
+++ b/src/libparsleygw/member.c
@@ -1,12 +1,12 @@
-/* What is known about each upstream, merged from three sources. */
+/* Merges what three sources say about each upstream. */
 #include "parsleygw/member.h"
 
 #include <string.h>
 
 #include "libparsleygw/member_view.h"
 
-/* One instance's facts. Kept also for instances that are not declared: a
- * sidecar may say Hello before its declaration arrives. */
+/* Facts about one instance. Undeclared instances are tracked too: a sidecar
+ * may send Hello before its declaration arrives. */
 struct tracked {
     struct pgw_member_facts facts;
     uint64_t engine;
@@ -17,8 +17,8 @@
 struct pgw_members {
     struct pgw_member_options options;
     struct pgw_config *config;
-    GHashTable *tracked;              /* id -> struct tracked */
-    enum pgw_member_listing unlisted; /* of ids that no list named */
+    GHashTable *tracked;                     /* id -> struct tracked */
+    enum pgw_member_listing default_listing; /* of ids not tracked yet */
     uint64_t list_us;
     struct pgw_member_view *view;
     bool changed;
@@ -38,8 +38,8 @@
                                                        : "gone";
 }
 
-/* Absence from the list counts only when the list had time to learn of the
- * instance: else one that just started would be dropped by a lagging list. */
+/* Absence counts only in a list read at least @lag_us after the connection was
+ * lost: a lagging list would drop an instance that has just started. */
 static bool
 is_absent(const struct pgw_member_facts *facts, uint64_t lag_us)
 {
@@ -55,7 +55,7 @@
     if (!facts->declared || is_absent(facts, lag_us)) {
         return PGW_MEMBER_GONE;
     }
-    if (facts->declared_leaving || facts->left ||
+    if (facts->declared_leaving || facts->announced_leaving ||
         facts->listing == PGW_MEMBER_LIST_LEAVING) {
         return PGW_MEMBER_LEAVING;
     }
@@ -90,13 +90,13 @@
 }
 
 static struct tracked *
-track(struct pgw_members *members, const char *id)
+get_or_add_tracked(struct pgw_members *members, const char *id)
 {
     struct tracked *tracked = g_hash_table_lookup(members->tracked, id);
 
     if (tracked == NULL) {
         tracked = g_new0(struct tracked, 1);
-        tracked->facts.listing = members->unlisted;
+        tracked->facts.listing = members->default_listing;
         tracked->facts.list_us = members->list_us;
         tracked->facts.upstream_alive = true;
         g_hash_table_insert(members->tracked, g_strdup(id), tracked);
@@ -105,7 +105,7 @@
 }
 
 static gboolean
-is_forgettable(gpointer key, gpointer value, gpointer data)
+is_removable(gpointer key, gpointer value, gpointer data)
 {
     const struct tracked *tracked = value;
 
@@ -120,24 +120,24 @@
     pgw_config_unref(members->config);
     members->config = config;
     members->changed = true;
-    g_hash_table_foreach_remove(members->tracked, is_forgettable, config);
+    g_hash_table_foreach_remove(members->tracked, is_removable, config);
 }
 
-/* The list names no incarnation. When it starts to say "leaving", the present
- * incarnation is meant, for good: a list that lags, or is read through a
- * slower replica, must not bring it back. When it said so already before this
- * incarnation came, it may still speak of the one before: then it counts only
- * as long as it is said. */
+/* The list names no incarnation. When an instance changes to "leaving", this
+ * applies to the current incarnation and is final: a lagging list, or one read
+ * from a slower replica, must not make it usable again. If the instance was
+ * listed as leaving before this incarnation started, the list may mean the
+ * previous one: then it counts only while the list says so. */
 static void
-take_listing(struct tracked *tracked, enum pgw_member_listing listing,
-             uint64_t now_us)
+update_listing(struct tracked *tracked, enum pgw_member_listing listing,
+               uint64_t now_us)
 {
     struct pgw_member_facts *facts = &tracked->facts;
 
 #ifndef PGW_DISABLE_LEAVING_LISTED
     if (listing == PGW_MEMBER_LIST_LEAVING &&
         facts->listing != PGW_MEMBER_LIST_LEAVING) {
-        facts->left = true;
+        facts->announced_leaving = true;
     }
 #endif
     facts->listing = listing;
@@ -153,21 +153,21 @@
     gpointer key;
     gpointer value;
 
-    members->unlisted = PGW_MEMBER_ABSENT;
+    members->default_listing = PGW_MEMBER_ABSENT;
     members->list_us = now_us;
     for (size_t i = 0; i < list->n; i++) {
         const struct pgw_store_instance *instance = &list->instances[i];
 
         g_hash_table_add(listed, instance->id);
-        take_listing(track(members, instance->id),
-                     instance->leaving ? PGW_MEMBER_LIST_LEAVING
-                                       : PGW_MEMBER_LISTED,
-                     now_us);
+        update_listing(get_or_add_tracked(members, instance->id),
+                       instance->leaving ? PGW_MEMBER_LIST_LEAVING
+                                         : PGW_MEMBER_LISTED,
+                       now_us);
     }
     g_hash_table_iter_init(&iter, members->tracked);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         if (!g_hash_table_contains(listed, key)) {
-            take_listing(value, PGW_MEMBER_ABSENT, now_us);
+            update_listing(value, PGW_MEMBER_ABSENT, now_us);
         }
     }
     g_hash_table_unref(listed);
@@ -178,11 +178,11 @@
 pgw_members_connected(struct pgw_members *members, const char *id,
                       uint64_t incarnation)
 {
-    struct tracked *tracked = track(members, id);
+    struct tracked *tracked = get_or_add_tracked(members, id);
 
     if (tracked->facts.incarnation != incarnation) {
         tracked->facts.incarnation = incarnation;
-        tracked->facts.left = false;
+        tracked->facts.announced_leaving = false;
         tracked->facts.upstream_alive = true;
         tracked->engine = 0;
         tracked->weights[0] = '\0';
@@ -196,10 +196,10 @@
 pgw_members_disconnected(struct pgw_members *members, const char *id,
                          uint64_t incarnation, uint64_t now_us)
 {
-    struct tracked *tracked = track(members, id);
+    struct tracked *tracked = get_or_add_tracked(members, id);
 
-    /* The end of a replaced connection is often seen after its successor's
-     * Hello; taken at its word it would mark a working upstream as down. */
+    /* The end of a replaced connection is often seen after the Hello on the
+     * new one; it must not mark a working upstream as down. */
     if (incarnation == 0 ? tracked->facts.connection == PGW_MEMBER_UP
                          : incarnation != tracked->facts.incarnation) {
         return;
@@ -212,9 +212,9 @@
 }
 
 static bool
-says_the_same(const struct tracked *a, const struct tracked *b)
+has_same_status(const struct tracked *a, const struct tracked *b)
 {
-    return a->facts.left == b->facts.left &&
+    return a->facts.announced_leaving == b->facts.announced_leaving &&
            a->facts.upstream_alive == b->facts.upstream_alive &&
            a->loading == b->loading && a->engine == b->engine &&
            strcmp(a->weights, b->weights) == 0;
@@ -223,37 +223,38 @@
 void
 pgw_members_apply_status(struct pgw_members *members, const char *id,
                          uint64_t incarnation,
-                         const struct pgw_member_status *word)
+                         const struct pgw_member_status *status)
 {
-    struct tracked *tracked = track(members, id);
+    struct tracked *tracked = get_or_add_tracked(members, id);
     struct tracked before = *tracked;
 
     if (incarnation != tracked->facts.incarnation) {
         return;
     }
-    /* Sticky: words that overtook each other, or a process that answers
-     * while it drains, must not draw new work to an upstream whose planned
-     * stop would then cut it off. Only a new process starts afresh. */
+    /* Sticky: a reordered status, or a process that answers while it drains,
+     * must not attract new requests to an upstream whose planned stop would
+     * cut them off. Only a new incarnation resets it. */
 #ifndef PGW_DISABLE_LEAVING_STICKY
-    tracked->facts.left |= word->leaving;
+    tracked->facts.announced_leaving |= status->leaving;
 #else
-    tracked->facts.left = word->leaving;
+    tracked->facts.announced_leaving = status->leaving;
 #endif
-    tracked->facts.upstream_alive = word->upstream_alive;
-    tracked->engine = word->engine;
-    g_strlcpy(tracked->weights, word->weights == NULL ? "" : word->weights,
+    tracked->facts.upstream_alive = status->upstream_alive;
+    tracked->engine = status->engine;
+    g_strlcpy(tracked->weights, status->weights == NULL ? "" : status->weights,
               sizeof(tracked->weights));
-    tracked->loading = word->loading;
-    /* An idle sidecar repeats itself; a new view for each word would be most
-     * of what thousands of them cost. */
-    members->changed |= !says_the_same(&before, tracked);
+    tracked->loading = status->loading;
+    /* An idle sidecar sends the same status again and again; a new view for
+     * each would be most of the cost of thousands of sidecars. */
+    members->changed |= !has_same_status(&before, tracked);
 }
 
 static void
 fill_member(void *data, struct pgw_member *member)
 {
     struct pgw_members *members = data;
-    struct tracked *tracked = track(members, member->upstream->id);
+    struct tracked *tracked =
+        get_or_add_tracked(members, member->upstream->id);
     struct pgw_member_facts facts = tracked->facts;
 
     facts.declared = true;
--- a/src/libparsleygw/member_view.c
+++ b/src/libparsleygw/member_view.c
@@ -4,7 +4,7 @@
 #include <stdatomic.h>
 #include <string.h>
 
-/* Where the members of one pool stand. */
+/* The members of one pool in the array of all members. */
 struct range {
     size_t first;
     size_t n;
@@ -59,8 +59,8 @@
     return view;
 }
 
-/* Members are filled from zeroed memory, so that equal ones are equal bytes;
- * the same configuration lays them out alike. */
+/* Members are filled in zeroed memory, so that equal members have equal bytes;
+ * the same configuration gives the same order. */
 static bool
 is_same(const struct pgw_member_view *a, const struct pgw_member_view *b)
 {
--- a/tests/property/prop_member.cc
+++ b/tests/property/prop_member.cc
@@ -1,4 +1,4 @@
-// Membership under any order of lists, words, connections and restarts.
+// Membership under any order of lists, statuses, connections and restarts.
 #include <rapidcheck.h>
 
 #include <memory>
@@ -9,12 +9,13 @@
 
 constexpr uint64_t lag_us = 100;
 
-// The rules, told by a model that keeps the whole story of one upstream.
+// Reference model of one upstream.
 struct Model {
     uint64_t incarnation = 0;
     bool connected = false;
-    bool said_leaving = false;  // by this incarnation, ever
-    bool list_began = false;    // the list began to say so meanwhile
+    bool status_leaving = false; // in any status of this incarnation
+    // The listing changed to leaving during this incarnation.
+    bool list_changed_to_leaving = false;
     bool listed_leaving = false;
 };
 
@@ -55,7 +56,7 @@
 };
 
 void
-take_list(Fixture &fixture, Model &model)
+apply_list(Fixture &fixture, Model &model)
 {
     char id[] = "a";
     bool listed = *rc::gen::arbitrary<bool>();
@@ -65,23 +66,23 @@
     bool leaving = listed && instance.leaving;
 
     pgw_members_set_list(fixture.members, &list, fixture.now);
-    model.list_began |= leaving && !model.listed_leaving;
+    model.list_changed_to_leaving |= leaving && !model.listed_leaving;
     model.listed_leaving = leaving;
 }
 
 void
-take_word(Fixture &fixture, Model &model)
+apply_status(Fixture &fixture, Model &model)
 {
-    struct pgw_member_status word = {};
-    // Words of older and of never seen processes must not count.
+    struct pgw_member_status status = {};
+    // The status of an older or unknown incarnation must be ignored.
     uint64_t incarnation =
         *rc::gen::inRange<uint64_t>(1, model.incarnation + 3);
 
-    word.leaving = *rc::gen::inRange(0, 3) == 0;
-    word.upstream_alive = *rc::gen::arbitrary<bool>();
-    pgw_members_apply_status(fixture.members, "a", incarnation, &word);
+    status.leaving = *rc::gen::inRange(0, 3) == 0;
+    status.upstream_alive = *rc::gen::arbitrary<bool>();
+    pgw_members_apply_status(fixture.members, "a", incarnation, &status);
     if (incarnation == model.incarnation) {
-        model.said_leaving |= word.leaving;
+        model.status_leaving |= status.leaving;
     }
 }
 
@@ -91,25 +92,25 @@
     fixture.now += *rc::gen::inRange<uint64_t>(1, 2 * lag_us);
     switch (*rc::gen::inRange(0, 5)) {
     case 0:
-        take_list(fixture, model);
+        apply_list(fixture, model);
         break;
     case 1:
-        take_word(fixture, model);
+        apply_status(fixture, model);
         break;
-    case 2: // a new process
+    case 2: // a new incarnation connects
         model.incarnation++;
-        model.said_leaving = false;
-        model.list_began = false;
+        model.status_leaving = false;
+        model.list_changed_to_leaving = false;
         model.connected = true;
         pgw_members_connected(fixture.members, "a", model.incarnation);
         break;
-    case 3: // the same one again
+    case 3: // the same incarnation reconnects
         if (model.incarnation > 0) {
             model.connected = true;
             pgw_members_connected(fixture.members, "a", model.incarnation);
         }
         break;
-    default: // a connection's end, perhaps of an older process
+    default: // a connection ends, perhaps of an older incarnation
         uint64_t incarnation =
             *rc::gen::inRange<uint64_t>(1, model.incarnation + 1);
         pgw_members_disconnected(fixture.members, "a", incarnation,
@@ -122,9 +123,9 @@
 }
 
 bool
-check_sticky()
+check_leaving_is_sticky()
 {
-    return rc::check("leaving sticks to an incarnation", [] {
+    return rc::check("leaving is final for an incarnation", [] {
         Fixture fixture;
         Model model;
         int steps = *rc::gen::inRange(0, 60);
@@ -133,7 +134,7 @@
             step(fixture, model);
             pgw_member_state state = fixture.state();
 
-            if (model.said_leaving || model.list_began ||
+            if (model.status_leaving || model.list_changed_to_leaving ||
                 model.listed_leaving) {
                 RC_ASSERT(state == PGW_MEMBER_LEAVING ||
                           state == PGW_MEMBER_GONE);
@@ -152,7 +153,7 @@
 }
 
 bool
-check_version()
+check_view_version()
 {
     return rc::check("a view's version grows exactly with a change", [] {
         Fixture fixture;
@@ -181,7 +182,7 @@
 int
 main()
 {
-    bool ok = check_sticky();
+    bool ok = check_leaving_is_sticky();
 
-    return check_version() && ok ? 0 : 1;
+    return check_view_version() && ok ? 0 : 1;
 }
--- a/tests/property/prop_settled.cc
+++ b/tests/property/prop_settled.cc
@@ -1,5 +1,5 @@
-// The entry may stop waiting for answers once one is good: then no answer
-// that is still missing could have lowered the cost by more than a bound.
+// The entry may stop waiting for probe replies once the choice is settled: no
+// missing reply could then lower the cost by more than a bound.
 #include <algorithm>
 #include <parsleygw/place.h>
 #include <rapidcheck.h>
@@ -10,8 +10,8 @@
 constexpr uint32_t kShared = 4096;
 constexpr uint32_t kPrompt = kShared + 48;
 constexpr uint64_t kUsPerToken = 100;
-/* A queue of 10 ms, and 64 tokens of a level's last block at the highest
- * price, 1 + 8 for recomputation and 0.05 for each rank. */
+/* 10 ms of queueing, plus 64 tokens of a level's last block at the highest
+ * weight: 1 + 8 for recomputation and 0.05 for each rank. */
 constexpr uint64_t kBoundUs = 10000 + 64 * kUsPerToken * 10;
 
 pgw_place_candidate
@@ -48,7 +48,7 @@
 int
 main()
 {
-    bool ok = rc::check("settled means good enough", [] {
+    bool ok = rc::check("a settled choice is within the cost bound", [] {
         const auto candidates = *rc::gen::container<
             std::vector<pgw_place_candidate>>(
             4, rc::gen::exec(arbitraryCandidate));
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -59,7 +59,7 @@
 }
 
 static void
-list(struct fixture *fixture, const char *state, uint64_t now_us)
+set_listing(struct fixture *fixture, const char *state, uint64_t now_us)
 {
     struct pgw_store_instance instance = {
         .id = (char *)"a", .leaving = g_strcmp0(state, "leaving") == 0};
@@ -79,18 +79,18 @@
     fixture_init(&fixture);
     assert_state(&fixture, "a", "usable");
     pgw_members_connected(fixture.members, "a", 1);
-    /* A list that lags behind does not know the instance yet. */
-    list(&fixture, NULL, 10);
+    /* A lagging list does not contain the instance yet. */
+    set_listing(&fixture, NULL, 10);
     assert_state(&fixture, "a", "usable");
     pgw_members_disconnected(fixture.members, "a", 1, 20);
     assert_state(&fixture, "a", "suspect");
-    list(&fixture, NULL, 20 + LAG_US - 1);
+    set_listing(&fixture, NULL, 20 + LAG_US - 1);
     assert_state(&fixture, "a", "suspect");
-    list(&fixture, NULL, 20 + LAG_US);
+    set_listing(&fixture, NULL, 20 + LAG_US);
     assert_state(&fixture, "a", "gone");
     pgw_members_connected(fixture.members, "a", 2);
     assert_state(&fixture, "a", "usable");
-    /* The end of the first connection, seen late. */
+    /* The end of the first connection is seen late. */
     pgw_members_disconnected(fixture.members, "a", 1, 30);
     assert_state(&fixture, "a", "usable");
     declare(&fixture, "a", NULL);
@@ -113,23 +113,23 @@
     assert_state(&fixture, "a", "suspect");
     pgw_members_apply_status(fixture.members, "a", 1, &leaving);
     pgw_members_apply_status(fixture.members, "a", 1, &staying);
-    list(&fixture, "live", 10);
+    set_listing(&fixture, "live", 10);
     assert_state(&fixture, "a", "leaving");
     pgw_members_connected(fixture.members, "a", 2);
     pgw_members_apply_status(fixture.members, "a", 1, &leaving);
     assert_state(&fixture, "a", "usable");
 
-    /* The list's word, too, stays with the incarnation that it met. */
-    list(&fixture, "leaving", 20);
-    list(&fixture, "live", 30);
+    /* Leaving according to the list is final for the current incarnation. */
+    set_listing(&fixture, "leaving", 20);
+    set_listing(&fixture, "live", 30);
     assert_state(&fixture, "a", "leaving");
-    list(&fixture, "leaving", 40);
+    set_listing(&fixture, "leaving", 40);
     pgw_members_connected(fixture.members, "a", 3);
     assert_state(&fixture, "a", "leaving");
-    list(&fixture, "live", 50);
+    set_listing(&fixture, "live", 50);
     assert_state(&fixture, "a", "usable");
 
-    /* The operators' word has versions of its own and can be taken back. */
+    /* An operator's declaration is versioned and can be reverted. */
     declare(&fixture, "a", LEAVING);
     assert_state(&fixture, "a", "leaving");
     declare(&fixture, "a", UPSTREAM);
@@ -140,7 +140,7 @@
 static void
 test_views(void)
 {
-    struct pgw_member_status word = {
+    struct pgw_member_status status = {
         .upstream_alive = true, .engine = 7, .weights = "w2"};
     struct fixture fixture;
     struct pgw_member_view *first;
@@ -150,12 +150,12 @@
 
     fixture_init(&fixture);
     first = pgw_members_build(fixture.members);
-    list(&fixture, "live", 10);
+    set_listing(&fixture, "live", 10);
     second = pgw_members_build(fixture.members);
     g_assert_true(first == second);
     pgw_member_view_unref(second);
     pgw_members_connected(fixture.members, "b", 5);
-    pgw_members_apply_status(fixture.members, "b", 5, &word);
+    pgw_members_apply_status(fixture.members, "b", 5, &status);
     second = pgw_members_build(fixture.members);
     g_assert_cmpuint(pgw_member_view_version(second), ==,
                      pgw_member_view_version(first) + 1);
@@ -175,8 +175,10 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/member/restart_and_loss", test_restart_and_loss);
-    g_test_add_func("/member/leaving", test_leaving);
-    g_test_add_func("/member/views", test_views);
+    g_test_add_func("/member/restart-and-connection-loss",
+                    test_restart_and_loss);
+    g_test_add_func("/member/leaving-is-final-for-an-incarnation",
+                    test_leaving);
+    g_test_add_func("/member/view-changes-with-facts", test_views);
     return g_test_run();
 }
