--- a/tests/property/prop_config.cc
+++ b/tests/property/prop_config.cc
@@ -1,6 +1,6 @@
-// Merging of configuration sets: with reordering, loss, duplicates, stale peers
-// and a stale store, no version in a set decreases, and all sets converge once
-// they can exchange objects.
+// Merging of configuration sets: with reordering, loss, duplicates, stale
+// peers and a stale store, no version in a set decreases, and all sets
+// converge once they can exchange objects.
 #include <rapidcheck.h>
 
 #include <map>
