--- a/src/libparsleygw/sync_copy.c
+++ b/src/libparsleygw/sync_copy.c
@@ -21,10 +21,10 @@
 pgw_sync_copy_next(struct pgw_sync_copy *copy, size_t pending, uint64_t now_us)
 {
     if (copy->current != NULL && pending >= PGW_SYNC_COPY_MAX_PENDING_BYTES &&
-        now_us - copy->began_us < PGW_SYNC_COPY_TIMEOUT_US) {
+        now_us - copy->started_us < PGW_SYNC_COPY_TIMEOUT_US) {
         return NULL;
     }
     copy->current = g_queue_pop_head(&copy->waiting);
-    copy->began_us = now_us;
+    copy->started_us = now_us;
     return copy->current;
 }
--- a/tests/unit/test_sync_copy.c
+++ b/tests/unit/test_sync_copy.c
@@ -1,12 +1,11 @@
-/* Who gets a whole copy, and when: the queue without links. */
+/* Order and timing of full copies, tested without real links. */
 #include "libparsleygw/sync_copy.h"
 
 #define NOW UINT64_C(5000000)
 
 static char links[3];
 
-/* Each link that asked is served once, in order, as long as little is queued.
- */
+/* Each queued link gets one copy, in order, while little data is pending. */
 static void
 test_order(void)
 {
@@ -23,8 +22,8 @@
     g_assert_null(copy.current);
 }
 
-/* The next one waits while much is queued for the last, unless that takes
- * nothing or is gone. */
+/* The next link waits while much data is pending on the current one, until
+ * that one times out or closes. */
 static void
 test_waits(void)
 {
@@ -50,7 +49,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/sync-copy/order", test_order);
-    g_test_add_func("/sync-copy/waits", test_waits);
+    g_test_add_func("/sync-copy/sent-once-in-order", test_order);
+    g_test_add_func("/sync-copy/waits-for-current-link", test_waits);
     return g_test_run();
 }
