--- a/bench/placement/entry.c
+++ b/bench/placement/entry.c
@@ -1,4 +1,4 @@
-/* An entry: the gateway's decisions on what it has been told. */
+/* An entry: the gateway's decisions from the reports that it got. */
 #include "sim.h"
 
 #define RETRY_US 20000
@@ -88,8 +88,8 @@
             .engine = job->engine,
             .key = job->key,
             .tokens = job->part.tokens,
-            .to_read = job->prefill,
-            .memory = job->counted,
+            .pending_tokens = job->prefill,
+            .kv_tokens = job->counted,
             .request = job->id,
         };
         job->announced = job->prefill >= PGW_LONG_PREFILL_TOKENS;
--- a/bench/placement/sim.h
+++ b/bench/placement/sim.h
@@ -149,8 +149,8 @@
     struct sim_engine *engine;
     uint64_t key;
     uint32_t tokens;
-    uint32_t to_read;
-    uint32_t memory;
+    uint32_t pending_tokens;
+    uint32_t kv_tokens;
     uint64_t request;
 };
 
@@ -198,9 +198,9 @@
     unsigned arrivals;
     uint64_t arriving_tokens;
     struct pgw_report_budget budget;
-    struct pgw_upstream_load told;
-    uint64_t told_us;
-    uint64_t told_far_us;
+    struct pgw_upstream_load reported;
+    uint64_t reported_us;
+    uint64_t reported_remote_us;
 };
 
 /** struct sim_entry - an entry and what it knows */
--- a/src/gateway/cached_parts.c
+++ b/src/gateway/cached_parts.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 
 /* Maximum number of keys in a generation of requested keys. A full generation
- * replaces the previous one. An engine holds a few hundred shared parts. */
+ * replaces the previous one. An engine caches a few hundred shared parts. */
 #define REQUESTED_MAX 4096
 /* How long an announced part counts as expected: the request waits in the
  * engine's queue, and its whole prompt is prefilled before the part is cached.
--- a/src/gateway/caller.c
+++ b/src/gateway/caller.c
@@ -202,9 +202,10 @@
         return;
     }
     if (expect != NULL && g_ascii_strcasecmp(expect, "100-continue") == 0) {
-        static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+        static const char interim_answer[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-        pgw_buffer_append(&caller->out, go_on, sizeof(go_on) - 1);
+        pgw_buffer_append(&caller->out, interim_answer,
+                          sizeof(interim_answer) - 1);
         caller_flush(caller);
     }
     if (reader->head.has_length) {
--- a/src/gateway/caller.h
+++ b/src/gateway/caller.h
@@ -28,7 +28,7 @@
  * @request_is_active: a request is being read or answered
  * @request_is_complete: it was received and handed to the owner
  * @answer_is_begun: the head of the answer was written
- * @discards_input: the connection takes no further request
+ * @discards_input: received bytes are dropped: no further request is read
  */
 struct pgw_caller {
     struct pgw_caller_server *server;
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -242,7 +242,7 @@
 }
 
 /* Cost of the shared parts that an engine lacks: a fetch if another engine
- * holds them, else prefill. */
+ * has them cached, else prefill. */
 static double
 missing_parts_cost(const struct pgw_upstream *upstream, uint32_t missing,
                    const struct pgw_choose_input *input,
@@ -284,7 +284,7 @@
     if (options->long_prefill_tokens <= 0) {
         return 0;
     }
-    return upstream->load.unread > 0
+    return upstream->load.pending_tokens > 0
                ? pgw_upstream_others_pending_tokens(
                      upstream, prefill_tokens_per_ms, now_us)
                : pgw_upstream_others_long_prefills(upstream, now_us) *
@@ -302,8 +302,8 @@
  * engine with a free slot, where it is cold; the additional prefill takes
  * three times as much engine time, so the engines stay full long after the
  * cause is over. Therefore a prompt may queue at a home or at an engine that
- * holds all of its shared parts. An engine that is going to load weights is
- * excluded: it refuses its queue and drops its cached parts then.
+ * has all of its shared parts cached. An engine that is going to load weights
+ * is excluded: it refuses its queue and drops its cached parts then.
  */
 static double
 max_load(const struct pgw_upstream *upstream, size_t position,
--- a/src/gateway/choose.h
+++ b/src/gateway/choose.h
@@ -74,8 +74,8 @@
  * @plain_max_load: maximum load of a plain upstream, in multiples of its
  *   slots; a short queue there hides the time between two answers
  * @engine_max_load: the same for engines, where a queue only adds delay
- * @home_max_load: the same for homes of a prompt and for engines that hold all
- *   of its shared parts, in pools of which only some are evaluated
+ * @home_max_load: the same for homes of a prompt and for engines that have
+ *   all of its shared parts cached, in pools of which only some are evaluated
  * @long_prefill_share: share of an engine's slots that long prompts with
  *   pending tokens may take
  * @non_home_weight: cost of prefilling shared parts on an engine that is no
@@ -103,8 +103,8 @@
  *   tokens; decides where a cold prompt goes
  * @min_rank_cost_tokens: minimum cost of a rank, for short prompts
  * @recompute_weight: cost of prefilling a shared part that no engine is known
- *   to hold, in multiples of its tokens: prefill also delays the engine's
- *   other requests
+ *   to have cached, in multiples of its tokens: prefill also delays the
+ *   engine's other requests
  * @fetch_cost_tokens: fixed cost of a fetch from another engine, in tokens: 2
  *   ms
  * @fetch_cost_weight: cost of each fetched token, in tokens: links transfer 7
@@ -209,8 +209,8 @@
 /**
  * struct pgw_choice - result of pgw_choose()
  * @upstream: the chosen upstream; NULL: none can take the request now
- * @holder: another engine that holds more of the shared parts than @upstream;
- *   NULL: none
+ * @holder: another engine that has more of the shared parts cached than
+ *   @upstream; NULL: none
  * @holder_missing: shared tokens that @holder lacks
  * @missing_tokens: shared tokens that @upstream lacks
  * @shared_tokens: all shared tokens of the prompt
--- a/src/gateway/crash_quarantine.h
+++ b/src/gateway/crash_quarantine.h
@@ -64,8 +64,9 @@
  * that.
  * min_crash_gap_us: a zone that loses power takes all upstreams of a service
  * down at once, and a popular request may be running at each of them.
- * crash_match_us: the line of a service without a sidecar expires after three
- * heartbeats of 1.2 s, and the list is acted on two to four seconds later.
+ * crash_match_us: the list's record of a service without a sidecar expires
+ * after three heartbeats of 1.2 s, and the list is acted on two to four
+ * seconds later.
  * quarantine_us, record_lifetime_us: a request quarantined by mistake runs
  * again after a minute; a faulty one costs a crash then, so the time doubles,
  * up to ten minutes.
--- a/src/gateway/delisted.h
+++ b/src/gateway/delisted.h
@@ -6,12 +6,13 @@
 /**
  * DOC: Upstreams that vanish from the list without having announced a drain
  *
- * Failure: the list loses the lines of upstreams that are alive, because their
- * heartbeats did not reach the store while it was down. Symptom: all requests
- * are refused until the lines are written again. So a delisted upstream stays
- * usable for a grace period. The period is shorter than the time for which an
- * upstream that really drains goes on serving. It starts with the upstream's
- * own delisting; a later delisting of others does not restart it.
+ * Failure: the list loses the records of upstreams that are alive, because
+ * their heartbeats did not reach the store while it was down. Symptom: all
+ * requests are refused until the records are written again. So a delisted
+ * upstream stays usable for a grace period. The period is shorter than the
+ * time for which an upstream that really drains goes on serving. It starts
+ * with the upstream's own delisting; a later delisting of others does not
+ * restart it.
  */
 
 /**
--- a/src/gateway/dispatch.c
+++ b/src/gateway/dispatch.c
@@ -285,7 +285,7 @@
         input.model = exchange->facts.model;
         input.run_ms = gateway->ms_per_output_token.value *
                        exchange->facts.prompt.output_tokens;
-        input.load_wait_ms = gateway->loading_turn_ms;
+        input.load_wait_ms = gateway->load_wait_ms;
         input.prefill_tokens_per_ms = gateway->prefill_rate.value;
         input.kv_tokens = service == NULL ? 0 : service->kv_tokens;
         input.size = HEAD_SIZE_ESTIMATE +
--- a/src/gateway/engine_sidecar_internal.h
+++ b/src/gateway/engine_sidecar_internal.h
@@ -35,7 +35,7 @@
  * @probe_only: it gets answers to its probes, and no other reports
  * @started_us: when it started, in monotonic time, from the age in its hello;
  *   0: unknown
- * @last_stand_in_us: when it last asked for a quota that another sidecar owns,
+ * @last_fallback_us: when it last asked for a quota that another sidecar owns,
  *   0: never
  */
 struct pgw_connected_entry {
@@ -46,7 +46,7 @@
     bool is_remote;
     bool probe_only;
     uint64_t started_us;
-    uint64_t last_stand_in_us;
+    uint64_t last_fallback_us;
 };
 
 /**
--- a/src/gateway/engine_sidecar_quota.c
+++ b/src/gateway/engine_sidecar_quota.c
@@ -3,7 +3,7 @@
 
 /* An entry that asked for another owner's quota within this time cannot reach
  * that owner: it asks again each time that a workspace is near its quota. */
-#define STAND_IN_WINDOW_US 2000000
+#define FALLBACK_WINDOW_US 2000000
 
 /* Entries that have run for less time count as just started. */
 #define RECENT_START_US 5000000
@@ -25,21 +25,22 @@
 }
 
 /* Share of the entries that cannot reach the quota's owner, for which this
- * sidecar stands in. The owner itself grants what the other entries spend. */
+ * sidecar is a fallback. The owner itself grants what the other entries spend.
+ */
 static double
-stand_in_share(struct pgw_connected_entry *entry, uint64_t now_us)
+fallback_share(struct pgw_connected_entry *entry, uint64_t now_us)
 {
     unsigned entries = 0;
     unsigned count = 0;
 
-    entry->last_stand_in_us = now_us;
+    entry->last_fallback_us = now_us;
     pgw_list_foreach (link, &entry->sidecar->entries) {
         const struct pgw_connected_entry *other =
             pgw_container_of(link, struct pgw_connected_entry, in_entries);
 
         entries++;
-        count += other->last_stand_in_us > 0 &&
-                 now_us - other->last_stand_in_us < STAND_IN_WINDOW_US;
+        count += other->last_fallback_us > 0 &&
+                 now_us - other->last_fallback_us < FALLBACK_WINDOW_US;
     }
     return (double)count / entries;
 }
@@ -79,7 +80,7 @@
         .spent = ask->spent,
         .refused = ask->refused,
         .cost = ask->cost,
-        .share = ask->stands_in ? stand_in_share(entry, now) : 1,
+        .share = ask->stands_in ? fallback_share(entry, now) : 1,
         .restarted = deployment_has_restarted(entry->sidecar, now),
     };
 
--- a/src/gateway/engine_sidecar_reports.c
+++ b/src/gateway/engine_sidecar_reports.c
@@ -79,13 +79,13 @@
 current_load(const struct pgw_engine_sidecar *sidecar)
 {
     struct pgw_upstream_load load = sidecar->report.load;
-    struct pgw_pending_prefill unread =
+    struct pgw_pending_prefill pending =
         pgw_announced_prompts_pending(&sidecar->announced_prompts);
 
     load.running += sidecar->arrivals_since_poll.requests +
                     sidecar->arrivals_before_poll.requests;
-    load.long_prefills = MAX(load.long_prefills, unread.prompts);
-    load.unread = unread.tokens;
+    load.long_prefills = MAX(load.long_prefills, pending.prompts);
+    load.pending_tokens = pending.tokens;
     load.kv_used += sidecar->arrivals_since_poll.kv_tokens +
                     sidecar->arrivals_before_poll.kv_tokens;
     return load;
@@ -140,7 +140,7 @@
     state.waiting = load.waiting;
     state.long_prefills = load.long_prefills;
     state.entries = pgw_engine_sidecar_entry_count(sidecar);
-    state.unread = load.unread;
+    state.unread = load.pending_tokens;
     state.kv_used = load.kv_used;
     state.kv_total = load.kv_total;
     state.parts_reset = report->parts_reset;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -27,7 +27,7 @@
  * @ms_per_output_token: observed time from the first event to the end of a
  *   run, divided by the most output tokens that its caller allows
  * @prefill_rate: observed prefill speed of an engine, in tokens per ms
- * @loading_turn_ms: mean time that an engine which is next to load weights
+ * @load_wait_ms: mean time that an engine which is next to load weights
  *   waits for its turn
  * @dispatch_due_us: when @dispatch_timer expires, 0: it is not set
  * @dispatch_is_posted: @dispatch_task is posted and has not run
@@ -59,7 +59,7 @@
     GHashTable *target_weights;
     struct pgw_moving_average ms_per_output_token;
     struct pgw_moving_average prefill_rate;
-    double loading_turn_ms;
+    double load_wait_ms;
     uint64_t dispatch_due_us;
     bool dispatch_is_posted;
     const struct pgw_sidecar_ops *sidecars;
@@ -110,7 +110,7 @@
  *   this engine are up to date
  * @quota_cost: units of its workspace's quota that the request needs
  * @quota_spent: units that were taken for it
- * @quota_ask: number of the question to the quota's owner whose answer is
+ * @quota_ask: number of the ask to the quota's owner whose answer is
  *   awaited, 0: none
  * @upstream: upstream of the current attempt, NULL between attempts
  * @reserved_tokens: tokens of KV cache counted at @upstream for this request
--- a/src/gateway/forward.c
+++ b/src/gateway/forward.c
@@ -93,19 +93,20 @@
         }
         pgw_recent_parts_add(&upstream->expected, key, now);
     }
-    announcement.to_read =
+    announcement.pending_tokens =
         prompt->tokens - choice->shared_tokens + choice->missing_tokens;
-    announcement.memory = prompt->tokens + prompt->output_tokens;
+    announcement.kv_tokens = prompt->tokens + prompt->output_tokens;
     announcement.request = pgw_announced_prompts_id(exchange->facts.id);
     announcement.count = count;
-    if ((count > 0 || announcement.to_read >= PGW_LONG_PREFILL_TOKENS) &&
+    if ((count > 0 ||
+         announcement.pending_tokens >= PGW_LONG_PREFILL_TOKENS) &&
         gateway->sidecars != NULL &&
         pgw_policy_is_on(&gateway->options.policy,
                          PGW_MECHANISM_EXPECTED_PARTS)) {
         gateway->sidecars->announce(gateway->sidecars_context, upstream,
                                     &announcement);
         exchange->prefill_is_announced =
-            announcement.to_read >= PGW_LONG_PREFILL_TOKENS;
+            announcement.pending_tokens >= PGW_LONG_PREFILL_TOKENS;
     }
 }
 
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -260,7 +260,7 @@
 {
     /* The next engine waits for one that is loading, which may be anywhere
      * between its start and its end: half the loading time on average. */
-    gateway->loading_turn_ms = (double)loading_us / 1000 / 2;
+    gateway->load_wait_ms = (double)loading_us / 1000 / 2;
 }
 
 GHashTable *
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -150,22 +150,22 @@
  * @parts: shared parts of its prompt that the engine is not known to have
  *   cached
  * @count: number of @parts
- * @to_read: tokens of the prompt that the engine has to prefill
- * @memory: most tokens that the request occupies in the engine's KV cache
+ * @pending_tokens: tokens of the prompt that the engine has to prefill
+ * @kv_tokens: most tokens that the request occupies in the engine's KV cache
  * @request: pgw_announced_prompts_id() of the request
  */
 struct pgw_announcement {
     const struct pgw_shared_part *parts;
     size_t count;
-    uint32_t to_read;
-    uint32_t memory;
+    uint32_t pending_tokens;
+    uint32_t kv_tokens;
     uint64_t request;
 };
 
 /**
  * struct pgw_sidecar_ops - messages to the sidecars of engines
- * @announce: announce a request in flight; with no @parts and @to_read 0, the
- *   long prompt announced before has been prefilled or cancelled
+ * @announce: announce a request in flight; with no @parts and @pending_tokens
+ *   0, the long prompt announced before has been prefilled or cancelled
  * @probe: ask for an engine's load and its cached parts; the answer arrives
  *   through pgw_gateway_probe_answered(). false: the sidecar is not reachable
  * @ask_quota: ask the owner of a quota for units, or report units to it; the
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -29,8 +29,8 @@
  *   they send
  * @PGW_MECHANISM_ENGINE_FETCH: nothing is fetched from another engine
  * @PGW_MECHANISM_STORE: the KV store is not used
- * @PGW_MECHANISM_STORE_REMAINDER: an engine that holds only some of the parts
- *   is preferred to the KV store
+ * @PGW_MECHANISM_STORE_REMAINDER: an engine that has only some of the parts
+ *   cached is preferred to the KV store
  * @PGW_MECHANISM_PROMPT_RANK: cold prompts are not ranked by rendezvous
  *   hashing
  * @PGW_MECHANISM_LONG_PREFILLS: long prompts of other entries are not counted
--- a/src/gateway/sidecar_links.c
+++ b/src/gateway/sidecar_links.c
@@ -73,7 +73,7 @@
         .running = state->running,
         .waiting = state->waiting,
         .long_prefills = state->long_prefills,
-        .unread = state->unread,
+        .pending_tokens = state->unread,
         .kv_used = state->kv_used,
         .kv_total = state->kv_total,
     };
--- a/src/gateway/sidecar_links_probe.c
+++ b/src/gateway/sidecar_links_probe.c
@@ -43,8 +43,8 @@
     }
     message.n_parts = announcement->count;
     message.parts = pointers;
-    message.to_read = announcement->to_read;
-    message.memory = announcement->memory;
+    message.to_read = announcement->pending_tokens;
+    message.memory = announcement->kv_tokens;
     message.request = announcement->request;
     pgw_link_send(link->connection, PGW_FRAME_EXPECTED_PARTS, &message.base);
 }
--- a/src/gateway/source.c
+++ b/src/gateway/source.c
@@ -1,9 +1,9 @@
 #include "gateway/source.h"
 
 /*
- * An optimization: an engine that holds only the first part, shared by many
- * prompts, is a worse source than the store, because the other parts would
- * have to be prefilled.
+ * An optimization: an engine that has only the first part cached, shared by
+ * many prompts, is a worse source than the store, because the other parts
+ * would have to be prefilled.
  */
 static bool
 holder_is_suitable(const struct pgw_source_input *input,
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -18,7 +18,7 @@
  * struct pgw_source_input - a request and its engine
  * @shared: shared tokens of the prompt
  * @missing: shared tokens that the engine lacks
- * @has_holder: another engine holds some of them
+ * @has_holder: another engine has some of them cached
  * @holder_missing: shared tokens that the holder lacks
  * @has_store: a KV store is available
  */
@@ -55,7 +55,7 @@
 /**
  * enum pgw_source_from - source of the missing parts
  * @PGW_SOURCE_PREFILL: none; the engine prefills them
- * @PGW_SOURCE_ENGINE: the other engine that holds them
+ * @PGW_SOURCE_ENGINE: the other engine, which has them cached
  * @PGW_SOURCE_STORE: the KV store
  */
 enum pgw_source_from {
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -91,11 +91,11 @@
 /*
  * Failure: the machine of an engine is suspended in the middle of its streams.
  * Symptom: callers wait until they give up, seconds later, and the engine
- * cannot learn of that and, once awake, goes on decoding for callers that have
- * left. A request that may be resumed continues at another engine before its
- * caller gives up. Closing the connection stops the first engine as soon as it
- * receives anything. Without a free slot elsewhere the request stays, since
- * its engine may still go on.
+ * is not notified and, once resumed, continues to decode for callers that have
+ * disconnected. A request that may be resumed continues at another engine
+ * before its caller gives up. Closing the connection stops the first engine as
+ * soon as it receives anything. Without a free slot elsewhere the request
+ * stays, since its engine may still go on.
  */
 static void
 fail_over(struct pgw_exchange *exchange, uint64_t now_us)
@@ -113,7 +113,7 @@
 }
 
 /* Whether the request was sent to a process that another one has replaced, and
- * no byte has come for the time left to late ones. */
+ * no byte has arrived within the grace period for late ones. */
 static bool
 has_process_ended(const struct pgw_exchange *exchange, uint64_t now_us)
 {
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -209,12 +209,12 @@
 
 /*
  * Failure: an upstream crashes and restarts at the same address, or another
- * service gets the address, before the line of the former upstream expires.
+ * service gets the address, before the record of the former upstream expires.
  * Symptom: half of the requests go to an incarnation that no longer exists and
- * are refused as "not run" until the line expires, seconds later. An address
- * belongs to the newest line that names it, so only its upstream is used.
+ * are refused as "not run" until the record expires, seconds later. An address
+ * belongs to the newest record that names it, so only its upstream is used.
  *
- * Return: false if another line is newer than @facts.
+ * Return: false if another record is newer than @facts.
  */
 static bool
 claim_address(struct pgw_upstream_table *table,
@@ -225,7 +225,7 @@
         pgw_upstream_table_find_address(table, facts->address);
 
     if (other != NULL) {
-        /* A displaced upstream gives up its address, also if its line is
+        /* A displaced upstream gives up its address, also if its record is
          * newer. */
         if (other->revision > facts->revision && !other->displaced) {
             return false;
@@ -311,11 +311,12 @@
 }
 
 /*
- * Failure: an upstream crashes and restarts with the same id, and a line that
- * the former process wrote arrives after a line of the new process. Symptom:
- * cached parts, load and refusals of the former process are attributed to the
- * new one, or the restarted upstream counts as leaving for ever. The start
- * times of former processes are kept, and lines with one of them are ignored.
+ * Failure: an upstream crashes and restarts with the same id, and a record
+ * that the former process wrote arrives after a record of the new process.
+ * Symptom: cached parts, load and refusals of the former process are
+ * attributed to the new one, or the restarted upstream counts as leaving for
+ * ever. The start times of former processes are kept, and records with one of
+ * them are ignored.
  */
 static bool
 is_from_earlier_process(const struct pgw_upstream *upstream,
@@ -593,7 +594,7 @@
     upstream->load.kv_used = load->kv_used;
     upstream->load.kv_total = load->kv_total;
     upstream->load.long_prefills = load->long_prefills;
-    upstream->load.unread = load->unread;
+    upstream->load.pending_tokens = load->pending_tokens;
     upstream->kv_reported_at_us = now_us;
     upstream->own_tokens_at_report = upstream->inflight_tokens;
     upstream->own_long_prefills_at_report = upstream->long_prefills;
@@ -652,7 +653,7 @@
 pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
                                    double prefill_rate, uint64_t now_us)
 {
-    uint64_t reported = upstream->load.unread;
+    uint64_t reported = upstream->load.pending_tokens;
     uint64_t own = upstream->own_prefill_tokens_at_report;
     uint64_t age = now_us - upstream->kv_reported_at_us;
 
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -32,13 +32,13 @@
 };
 
 /**
- * struct pgw_upstream_facts - one line of the platform's list
+ * struct pgw_upstream_facts - one record of the platform's list
  * @id: name in the list; usually a new one at each process start
  * @service: service that the upstream belongs to
  * @address: "IP:PORT"
  * @zone: availability zone
  * @slots: number of requests that the upstream runs concurrently
- * @revision: revision of this line in the list
+ * @revision: revision of this record in the list
  * @started_ms: start time of the process by its own clock, in Unix
  *   milliseconds; distinguishes processes with the same id. 0: unknown
  * @leaving: the upstream is draining and will stop
@@ -66,7 +66,8 @@
  * @waiting: number of queued requests
  * @slots: number of requests that it runs concurrently, 0: unknown
  * @long_prefills: long prompts whose prefill is running or pending
- * @unread: pending tokens of these prompts, as far as they were announced
+ * @pending_tokens: pending tokens of these prompts, as far as they were
+ *   announced
  * @kv_used: KV cache tokens that cannot be evicted
  * @kv_total: size of the KV cache in tokens, 0: unknown
  */
@@ -75,7 +76,7 @@
     uint32_t waiting;
     uint32_t slots;
     uint32_t long_prefills;
-    uint64_t unread;
+    uint64_t pending_tokens;
     uint64_t kv_used;
     uint64_t kv_total;
 };
@@ -95,7 +96,7 @@
  * @id_hash: hash of @address_text, for rendezvous hashing
  * @same_zone: it is in the entry's own availability zone
  * @slots: number of requests that it runs concurrently
- * @revision: revision of its line in the list
+ * @revision: revision of its record in the list
  * @started_ms: start time of the process that the state below belongs to, 0:
  *   unknown
  * @earlier_starts_ms: start times of former processes, whose messages may
@@ -106,7 +107,7 @@
  * @replaced_at_us: when the entry learned that a new process replaced the one
  *   running here; requests sent before get no answer. 0: never
  * @removed: no longer in the table
- * @delisted_at_us: when its line vanished from the list
+ * @delisted_at_us: when its record vanished from the list
  * @delisted_until_us: end of the grace period in which a delisted upstream
  *   stays usable, 0: it is listed
  * @warmup_until_us: end of the time for which it is slow after its start
@@ -254,10 +255,10 @@
  * pgw_upstream_table_put() - add or update an upstream from the platform's
  * list
  * @table: the table
- * @facts: line of the list; copied
+ * @facts: record of the list; copied
  *
  * Return: the upstream, or NULL if the address is malformed or belongs to a
- * newer line.
+ * newer record.
  */
 struct pgw_upstream *
 pgw_upstream_table_put(struct pgw_upstream_table *table,
--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -56,14 +56,14 @@
          const struct pgw_announcement *announcement)
 {
     (void)context;
-    if (announcement->to_read == 0 && announcement->count == 0) {
+    if (announcement->pending_tokens == 0 && announcement->count == 0) {
         g_assert_cmpint(fake_sidecars.announced_to, ==, position_of(upstream));
         g_assert_cmpuint(fake_sidecars.request, ==, announcement->request);
         fake_sidecars.ended++;
         return;
     }
     fake_sidecars.announced_to = position_of(upstream);
-    fake_sidecars.pending_tokens = announcement->to_read;
+    fake_sidecars.pending_tokens = announcement->pending_tokens;
     fake_sidecars.request = announcement->request;
 }
 
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -251,8 +251,10 @@
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
-    struct pgw_upstream_load load = {
-        .running = 1, .kv_total = 100000, .long_prefills = 1, .unread = 20000};
+    struct pgw_upstream_load load = {.running = 1,
+                                     .kv_total = 100000,
+                                     .long_prefills = 1,
+                                     .pending_tokens = 20000};
 
     pgw_upstream_update_load(upstream, &load, NOW);
     g_assert_cmpfloat(pgw_upstream_others_pending_tokens(upstream, 40, NOW),
