--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -33,7 +33,7 @@
 };
 
 /**
- * struct pgw_cache_events - an engine's response to a request for events
+ * struct pgw_cache_events - an engine's answer to a request for events
  * @epoch: changes when the engine restarts
  * @started_ms: start time of the process that answered, 0: unknown
  * @next: event number that the next request starts from
@@ -98,7 +98,7 @@
 void pgw_cached_parts_init(struct pgw_cached_parts *parts);
 void pgw_cached_parts_dispose(struct pgw_cached_parts *parts);
 
-/** pgw_cached_parts_apply_events() - apply an engine's response */
+/** pgw_cached_parts_apply_events() - apply an engine's answer */
 void pgw_cached_parts_apply_events(struct pgw_cached_parts *parts,
                                    const struct pgw_cache_events *events);
 
--- a/src/gateway/caller.h
+++ b/src/gateway/caller.h
@@ -103,7 +103,7 @@
  * @loop: loop on which the server runs
  * @address: the address; port 0 selects a free port
  * @ops: must outlive the server
- * @context: handed to the ops
+ * @context: passed to the ops
  * @error: %PGW_ERROR_IO
  */
 struct pgw_caller_server *
--- a/src/gateway/crash_quarantine.c
+++ b/src/gateway/crash_quarantine.c
@@ -30,7 +30,7 @@
  *
  * Crashes that a completed run has cleared are kept. Such a crash may arrive
  * again after the completed run; if it looked new, entries would pass both on
- * to each other for ever.
+ * to each other forever.
  */
 struct record {
     struct pgw_fingerprint fingerprint;
--- a/src/gateway/delisted.h
+++ b/src/gateway/delisted.h
@@ -10,7 +10,7 @@
  * their heartbeats did not reach the store while it was down. Symptom: all
  * requests are refused until the records are written again. So a delisted
  * upstream stays usable for a grace period. The period is shorter than the
- * time for which an upstream that really drains goes on serving. It starts
+ * time for which an upstream that really drains continues to serve. It starts
  * with the upstream's own delisting; a later delisting of others does not
  * restart it.
  */
--- a/src/gateway/engine_sidecar.h
+++ b/src/gateway/engine_sidecar.h
@@ -68,12 +68,12 @@
 /**
  * struct pgw_engine_codec - HTTP messages of the deployment's engines
  * @write_report_request: append a complete request for a report
- * @read_report: decode the response; false: it is invalid. The names and runs
+ * @read_report: decode the answer; false: it is invalid. The names and runs
  *   are owned by the caller
  * @write_order_request: append a complete request with an order
  * @write_events_request: append a complete long poll for cache events from
  *   number @since on
- * @read_events: decode the response; false: it is invalid. The array is owned
+ * @read_events: decode the answer; false: it is invalid. The array is owned
  *   by the caller
  */
 struct pgw_engine_codec {
--- a/src/gateway/engine_sidecar_poll.c
+++ b/src/gateway/engine_sidecar_poll.c
@@ -12,7 +12,7 @@
  * count as probes. */
 #define EVENTS_LONG_POLL_MS 800
 #define EVENTS_TIMEOUT_US 2000000
-/* Delay before the next poll after a response with events, so that events in
+/* Delay before the next poll after an answer with events, so that events in
  * quick succession are reported together. */
 #define EVENTS_BATCH_DELAY_US 30000
 #define EVENTS_RETRY_US 300000
@@ -109,7 +109,7 @@
  * Symptom: an order that the previous process got counts as in flight, and
  * parts that it had cached are still reported as cached. The state of the
  * previous process is discarded with the first report of the new one. A long
- * poll for cache events that is still running is cancelled, as its response
+ * poll for cache events that is still running is cancelled, as its answer
  * would be the previous process's.
  */
 static void
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -32,7 +32,7 @@
  * @dispatch_due_us: when @dispatch_timer expires, 0: it is not set
  * @dispatch_is_posted: @dispatch_task is posted and has not run
  * @sidecars: how sidecars are reached, NULL: they are not
- * @sidecars_context: handed to @sidecars
+ * @sidecars_context: passed to @sidecars
  * @probes: number of a probe -> the &struct pgw_exchange that waits for it
  * @last_probe: number of the last probe
  */
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -56,7 +56,7 @@
  *   configuration
  * @on_incarnation_seen: another incarnation with this id has answered at an
  *   upstream's address; NULL: not called
- * @context: handed to @on_incarnation_seen
+ * @context: passed to @on_incarnation_seen
  */
 struct pgw_gateway_options {
     const char *instance;
--- a/src/gateway/status_server.h
+++ b/src/gateway/status_server.h
@@ -20,7 +20,7 @@
  * @ready_path: path of the readiness check, NULL: none
  * @is_ready: whether the process is ready; if not, *reason receives a static
  *   string
- * @context: handed to @is_ready
+ * @context: passed to @is_ready
  */
 struct pgw_status_options {
     struct pgw_address listen;
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -95,7 +95,7 @@
  * disconnected. A request that may be resumed continues at another engine
  * before its caller gives up. Closing the connection stops the first engine as
  * soon as it receives anything. Without a free slot elsewhere the request
- * stays, since its engine may still go on.
+ * stays, since its engine may still continue.
  */
 static void
 fail_over(struct pgw_exchange *exchange, uint64_t now_us)
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -314,9 +314,9 @@
  * Failure: an upstream crashes and restarts with the same id, and a record
  * that the former process wrote arrives after a record of the new process.
  * Symptom: cached parts, load and refusals of the former process are
- * attributed to the new one, or the restarted upstream counts as leaving for
- * ever. The start times of former processes are kept, and records with one of
- * them are ignored.
+ * attributed to the new one, or the restarted upstream counts as leaving
+ * forever. The start times of former processes are kept, and records with one
+ * of them are ignored.
  */
 static bool
 is_from_earlier_process(const struct pgw_upstream *upstream,
--- a/tests/unit/test_choose.c
+++ b/tests/unit/test_choose.c
@@ -184,8 +184,8 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* The engine that holds the shared part gets the prompt. When it is full, the
- * next engine fetches the part from it. */
+/* The engine that has the shared part cached gets the prompt. When it is full,
+ * the next engine fetches the part from it. */
 static void
 test_prompt_follows_its_cached_part(void)
 {
@@ -587,8 +587,8 @@
     pgw_upstream_table_free(pool.table);
 }
 
-/* An engine that holds the first of two shared parts is returned as holder,
- * with the number of tokens that it lacks. */
+/* An engine that has the first of two shared parts cached is returned as
+ * holder, with the number of tokens that it lacks. */
 static void
 test_holder_lacks_some_parts(void)
 {
--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -155,7 +155,7 @@
     return pgw_part_key(MODEL, salt, pgw_part_id("ab12", 4));
 }
 
-/* All homes are idle, and the second one holds the prompt's part. */
+/* All homes are idle, and the second one has the prompt's part cached. */
 static void
 answer_probes(struct scene *scene)
 {
@@ -196,7 +196,7 @@
 }
 
 /* Guards against prefilling a prompt again although an engine of a remote zone
- * holds it. */
+ * has it cached. */
 static void
 test_prompt_goes_to_its_holder(void)
 {
--- a/tests/unit/test_source.c
+++ b/tests/unit/test_source.c
@@ -13,7 +13,8 @@
     g_assert_cmpint(source.save, ==, save);
 }
 
-/* Another engine holds all missing parts: nothing is prefilled or saved. */
+/* Another engine has all missing parts cached: nothing is prefilled or saved.
+ */
 static void
 test_holder_of_all(void)
 {
@@ -27,9 +28,9 @@
     expect(&input, PGW_SOURCE_ENGINE, false);
 }
 
-/* Engines hold the part that all prompts begin with, but not the others. The
- * store has had those since they were first prefilled. Without a store the
- * holder is better than no source. */
+/* Engines have cached the part that all prompts begin with, but not the
+ * others. The store has had those since they were first prefilled. Without a
+ * store the holder is better than no source. */
 static void
 test_holder_of_the_first_part(void)
 {
@@ -44,7 +45,7 @@
     expect(&input, PGW_SOURCE_ENGINE, false);
 }
 
-/* After new weights no engine holds any part: what is prefilled first is
+/* After new weights no engine has any part cached: what is prefilled first is
  * saved. */
 static void
 test_cold(void)
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -33,8 +33,8 @@
 
 /*
  * An upstream crashes and restarts at its address with a new id, before the
- * line of the former process expires. Requests go only to the new upstream, in
- * whichever order the lines are read.
+ * record of the former process expires. Requests go only to the new upstream,
+ * in whichever order the records are read.
  */
 static void
 test_address_belongs_to_the_newest(void)
@@ -166,7 +166,7 @@
 /*
  * An upstream that was draining, had failed and had cached parts crashes and
  * restarts with the same id. It is usable at once, and no state of the former
- * process remains. A line of the former process that arrives late changes
+ * process remains. A record of the former process that arrives late changes
  * nothing.
  */
 static void
@@ -193,7 +193,7 @@
 /*
  * The machine's clock was set back before the upstream restarted, so the list
  * and the sidecar report a lower start time than before. Either counts as a
- * restart, and the sidecar's report overrides an older line of the list.
+ * restart, and the sidecar's report overrides an older record of the list.
  */
 static void
 test_restart_after_clock_was_set_back(void)
