--- a/tests/unit/test_home_probe.c
+++ b/tests/unit/test_home_probe.c
@@ -56,14 +56,14 @@
          const struct pgw_announcement *announcement)
 {
     (void)context;
-    if (announcement->to_read == 0 && announcement->count == 0) {
+    if (announcement->pending_tokens == 0 && announcement->count == 0) {
         g_assert_cmpint(fake_sidecars.announced_to, ==, position_of(upstream));
         g_assert_cmpuint(fake_sidecars.request, ==, announcement->request);
         fake_sidecars.ended++;
         return;
     }
     fake_sidecars.announced_to = position_of(upstream);
-    fake_sidecars.pending_tokens = announcement->to_read;
+    fake_sidecars.pending_tokens = announcement->pending_tokens;
     fake_sidecars.request = announcement->request;
 }
 
@@ -155,7 +155,7 @@
     return pgw_part_key(MODEL, salt, pgw_part_id("ab12", 4));
 }
 
-/* All homes are idle, and the second one holds the prompt's part. */
+/* All homes are idle, and the second one has the prompt's part cached. */
 static void
 answer_probes(struct scene *scene)
 {
@@ -196,7 +196,7 @@
 }
 
 /* Guards against prefilling a prompt again although an engine of a remote zone
- * holds it. */
+ * has it cached. */
 static void
 test_prompt_goes_to_its_holder(void)
 {
--- a/tests/unit/test_upstream_table.c
+++ b/tests/unit/test_upstream_table.c
@@ -33,8 +33,8 @@
 
 /*
  * An upstream crashes and restarts at its address with a new id, before the
- * line of the former process expires. Requests go only to the new upstream, in
- * whichever order the lines are read.
+ * record of the former process expires. Requests go only to the new upstream,
+ * in whichever order the records are read.
  */
 static void
 test_address_belongs_to_the_newest(void)
@@ -166,7 +166,7 @@
 /*
  * An upstream that was draining, had failed and had cached parts crashes and
  * restarts with the same id. It is usable at once, and no state of the former
- * process remains. A line of the former process that arrives late changes
+ * process remains. A record of the former process that arrives late changes
  * nothing.
  */
 static void
@@ -193,7 +193,7 @@
 /*
  * The machine's clock was set back before the upstream restarted, so the list
  * and the sidecar report a lower start time than before. Either counts as a
- * restart, and the sidecar's report overrides an older line of the list.
+ * restart, and the sidecar's report overrides an older record of the list.
  */
 static void
 test_restart_after_clock_was_set_back(void)
@@ -251,8 +251,10 @@
 {
     struct pgw_upstream_table *table = pgw_upstream_table_new("a");
     struct pgw_upstream *upstream = put(table, "i", false);
-    struct pgw_upstream_load load = {
-        .running = 1, .kv_total = 100000, .long_prefills = 1, .unread = 20000};
+    struct pgw_upstream_load load = {.running = 1,
+                                     .kv_total = 100000,
+                                     .long_prefills = 1,
+                                     .pending_tokens = 20000};
 
     pgw_upstream_update_load(upstream, &load, NOW);
     g_assert_cmpfloat(pgw_upstream_others_pending_tokens(upstream, 40, NOW),
