--- a/src/gateway/announced_prompts.c
+++ b/src/gateway/announced_prompts.c
@@ -96,17 +96,17 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct announced_request *request = value;
         const struct pgw_engine_run *run = find_run(work, request->id);
-        uint64_t age = now_us - request->announced_at_us;
+        uint64_t age_us = now_us - request->announced_at_us;
 
         if (run != NULL) {
             request->was_listed = true;
         }
-        if (run == NULL ? request->was_listed || age >= UNLISTED_MAX_US
+        if (run == NULL ? request->was_listed || age_us >= UNLISTED_MAX_US
                         : run->events > 0) {
             g_hash_table_iter_remove(&iter);
         }
         else {
-            unlisted += run == NULL && age >= TRANSIT_US;
+            unlisted += run == NULL && age_us >= TRANSIT_US;
         }
     }
     return unlisted;
--- a/src/gateway/cached_parts.h
+++ b/src/gateway/cached_parts.h
@@ -9,8 +9,8 @@
  * DOC: Prompt parts in an engine's KV cache, from its cache events
  *
  * Kept by the engine's sidecar. Events arrive late and some are lost, so the
- * state is approximate: it places requests and starts fetches, but no answer
- * depends on it.
+ * state is approximate: it decides where requests are sent and what is
+ * fetched, but no answer depends on it.
  *
  * Only changes of parts that entries have requested are reported: half of a
  * prompt's parts are used by that prompt alone. Entries of the local zone get
--- a/src/gateway/candidates.c
+++ b/src/gateway/candidates.c
@@ -125,13 +125,13 @@
 add_ranked(struct pgw_candidates *out, const GPtrArray *from,
            const struct pgw_level_chain *chain, uint64_t now_us)
 {
-    uint32_t order[PGW_PLACE_RANK_MAX];
+    uint32_t positions[PGW_PLACE_RANK_MAX];
     size_t ranked =
-        rank_upstreams(order, PGW_PLACE_RANK_MAX, from, chain, now_us);
+        rank_upstreams(positions, PGW_PLACE_RANK_MAX, from, chain, now_us);
     uint32_t next = (uint32_t)out->home_count;
 
     for (size_t i = 0; i < ranked && next < PGW_PLACE_RANK_MAX; i++) {
-        struct pgw_upstream *upstream = g_ptr_array_index(from, order[i]);
+        struct pgw_upstream *upstream = g_ptr_array_index(from, positions[i]);
 
         if (!is_home(out, upstream)) {
             set_rank(out, upstream, next++);
@@ -152,16 +152,16 @@
                const struct pgw_level_chain *chain, size_t count,
                uint64_t now_us)
 {
-    uint32_t order[PGW_HOMES_MAX];
+    uint32_t positions[PGW_HOMES_MAX];
 
     out->count = 0;
     if (is_evaluated_whole(pool) || count == 0) {
         return;
     }
-    out->count = rank_upstreams(order, MIN(count, PGW_HOMES_MAX), pool->all,
-                                chain, now_us);
+    out->count = rank_upstreams(positions, MIN(count, PGW_HOMES_MAX),
+                                pool->all, chain, now_us);
     for (size_t i = 0; i < out->count; i++) {
-        out->items[i] = g_ptr_array_index(pool->all, order[i]);
+        out->items[i] = g_ptr_array_index(pool->all, positions[i]);
     }
 }
 
@@ -173,7 +173,7 @@
                     const struct pgw_level_chain *chain, uint64_t random,
                     uint64_t now_us)
 {
-    const GPtrArray *source = pool->all;
+    const GPtrArray *from = pool->all;
     unsigned samples = chain == NULL ? SAMPLES_PLAIN : SAMPLES_PROMPT;
     bool all_reported;
 
@@ -187,18 +187,18 @@
         samples = SAMPLES_ALL_ZONES;
     }
     else if (!out->all && pool->local->len >= LOCAL_ZONE_MIN) {
-        source = pool->local;
+        from = pool->local;
     }
     /* Engines of other zones that send no reports all look idle: a random
      * sample keeps requests from all going to the highest ranked one. */
-    all_reported = out->all || source == pool->local;
-    if (all_reported && source->len <= PGW_CANDIDATES_MAX) {
-        add_all(out, source, random);
+    all_reported = out->all || from == pool->local;
+    if (all_reported && from->len <= PGW_CANDIDATES_MAX) {
+        add_all(out, from, random);
     }
     if (chain != NULL) {
-        add_ranked(out, source, chain, now_us);
+        add_ranked(out, from, chain, now_us);
     }
-    if (!all_reported || source->len > PGW_CANDIDATES_MAX) {
-        add_samples(out, source, samples, random);
+    if (!all_reported || from->len > PGW_CANDIDATES_MAX) {
+        add_samples(out, from, samples, random);
     }
 }
--- a/src/gateway/choose.c
+++ b/src/gateway/choose.c
@@ -13,8 +13,8 @@
 {
     const struct {
         enum pgw_mechanism mechanism;
-        double *weight;
-    } weights[] = {
+        double *term;
+    } terms[] = {
         {PGW_MECHANISM_LOAD_NEXT, &options->load_delay_weight},
         {PGW_MECHANISM_OLD_WEIGHTS_COST, &options->old_weights_cost_ms},
         {PGW_MECHANISM_PROMPT_RANK, &options->rank_cost_share},
@@ -24,9 +24,9 @@
          &options->prefill_interference_weight},
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(weights); i++) {
-        if (!pgw_policy_is_on(policy, weights[i].mechanism)) {
-            *weights[i].weight = 0;
+    for (size_t i = 0; i < G_N_ELEMENTS(terms); i++) {
+        if (!pgw_policy_is_on(policy, terms[i].mechanism)) {
+            *terms[i].term = 0;
         }
     }
     options->refusal_backoff_enabled =
@@ -70,15 +70,15 @@
     if (load_factor > options->plain_max_load) {
         return DBL_MAX;
     }
-    /* A call waits for up to half a round of the slots before it crosses to
-     * another zone, where traffic costs more and latency is higher. */
+    /* Traffic to another zone costs more and has a higher latency. A remote
+     * upstream is chosen if its load is lower by more than half its slots. */
     if (!upstream->same_zone) {
         cost += 0.5;
     }
     if (now_us < upstream->warmup_until_us) {
         cost += 0.5;
     }
-    /* A failure rate of one half costs as much as half a round. */
+    /* A failure rate of one half costs as much as a load of half the slots. */
     return cost + upstream->failure_rate;
 }
 
@@ -201,13 +201,13 @@
  * away from their cached parts.
  */
 static bool
-fits_backlog(const struct pgw_upstream *upstream, uint32_t tokens,
+fits_backlog(const struct pgw_upstream *upstream, uint32_t pending_tokens,
              const struct pgw_choose_input *input,
              const struct pgw_choose_options *options)
 {
     return upstream->prefill_tokens == 0 ||
            input->prefill_tokens_per_ms <= 0 ||
-           (double)(upstream->prefill_tokens + tokens) <=
+           (double)(upstream->prefill_tokens + pending_tokens) <=
                options->max_backlog_ms * input->prefill_tokens_per_ms;
 }
 
@@ -263,14 +263,14 @@
 /* Each running request slows the others down slightly; the cost grows steeply
  * as the slots fill up. */
 static double
-load_cost(const struct pgw_upstream *upstream, uint32_t uncached_tokens,
+load_cost(const struct pgw_upstream *upstream, uint32_t pending_tokens,
           const struct pgw_choose_options *options, uint64_t now_us)
 {
     double load = pgw_upstream_load_estimate(upstream, now_us);
     double fullness = load / upstream->slots;
 
     return load * (options->running_cost_tokens +
-                   options->prefill_interference_weight * uncached_tokens) +
+                   options->prefill_interference_weight * pending_tokens) +
            fullness * fullness * options->full_cost_tokens;
 }
 
@@ -329,7 +329,8 @@
  * prompts would only block slots.
  */
 static bool
-fits_long_prefills(const struct pgw_upstream *upstream, uint32_t tokens,
+fits_long_prefills(const struct pgw_upstream *upstream,
+                   uint32_t pending_tokens,
                    const struct pgw_choose_input *input,
                    const struct pgw_choose_options *options)
 {
@@ -337,7 +338,7 @@
         upstream->long_prefills +
         pgw_upstream_others_long_prefills(upstream, input->now_us);
 
-    return tokens < PGW_LONG_PREFILL_TOKENS ||
+    return pending_tokens < PGW_LONG_PREFILL_TOKENS ||
            long_prefills <
                MAX(options->long_prefill_share * upstream->slots, 1);
 }
@@ -504,12 +505,12 @@
     return true;
 }
 
-/* One pass over the candidates; @unhealthy includes those that failed
- * recently. */
+/* One pass over the candidates, over unhealthy ones only with
+ * @include_unhealthy. */
 static struct pgw_upstream *
 find_cheapest(struct pgw_choice *out, const struct pgw_choose_input *input,
               const struct pgw_choose_options *options,
-              const struct candidate_set *set, bool unhealthy)
+              const struct candidate_set *set, bool include_unhealthy)
 {
     struct pgw_upstream *best = NULL;
     double best_cost = DBL_MAX;
@@ -530,7 +531,8 @@
             is_backing_off(out, upstream, input, options)) {
             continue;
         }
-        if (!unhealthy && is_unhealthy(upstream, options, input->now_us)) {
+        if (!include_unhealthy &&
+            is_unhealthy(upstream, options, input->now_us)) {
             continue;
         }
         cost = candidate_cost(upstream, i, input, options, set);
--- a/src/gateway/choose.h
+++ b/src/gateway/choose.h
@@ -75,7 +75,7 @@
  *   slots; a short queue there hides the time between two answers
  * @engine_max_load: the same for engines, where a queue only adds delay
  * @home_max_load: the same for homes of a prompt and for engines that have
- *   all of its shared parts cached, in pools of which only some are evaluated
+ *   all of its shared parts cached, in pools that are not evaluated whole
  * @long_prefill_share: share of an engine's slots that long prompts with
  *   pending tokens may take
  * @non_home_weight: cost of prefilling shared parts on an engine that is no
--- a/src/gateway/crash_quarantine.c
+++ b/src/gateway/crash_quarantine.c
@@ -4,8 +4,8 @@
 #include "util/metric.h"
 #include <string.h>
 
-/* Most interrupted runs kept that no crash has been matched to. A rack failure
- * of 40 engines with 64 runs each stays below it. */
+/* Maximum number of interrupted runs kept that no crash has been matched to. A
+ * rack failure of 40 engines with 64 runs each stays below it. */
 #define INTERRUPTED_RUNS_MAX 4096
 
 static struct pgw_metric_counter crashes_counted = {
--- a/src/gateway/crash_quarantine.h
+++ b/src/gateway/crash_quarantine.h
@@ -44,7 +44,7 @@
  *   starts the next one, twice as long
  * @record_lifetime_us: how long a record is kept after its last crash; also
  *   the longest quarantine
- * @records_max: most fingerprints with a record
+ * @records_max: maximum number of fingerprints with a record
  */
 struct pgw_crash_quarantine_options {
     uint32_t crashes;
@@ -55,7 +55,7 @@
     uint32_t records_max;
 };
 
-/* Most crashes kept in a record, cleared ones included. */
+/* Maximum number of crashes kept in a record, cleared ones included. */
 #define PGW_CRASH_QUARANTINE_CRASHES_MAX 8
 
 /*
--- a/src/gateway/crashed_runs.c
+++ b/src/gateway/crashed_runs.c
@@ -2,8 +2,8 @@
 #include "util/log.h"
 #include <string.h>
 
-/* Most runs in one frame: at some 32 bytes each far below PGW_FRAME_MAX_SIZE.
- */
+/* Maximum number of runs in one frame: with some 32 bytes for each, the frame
+ * stays far below PGW_FRAME_MAX_SIZE. */
 #define RUNS_PER_FRAME_MAX 1024
 
 static void
--- a/src/gateway/gossip.c
+++ b/src/gateway/gossip.c
@@ -15,7 +15,7 @@
  * the largest size that the store accepts (1 MiB), it stays below
  * PGW_FRAME_MAX_SIZE. */
 #define FRAME_TARGET_BYTES ((size_t)1 << 20)
-/* Most kinds of objects that are passed on. */
+/* Maximum number of kinds of objects. */
 #define KINDS_MAX 8
 
 /**
@@ -363,17 +363,17 @@
 static void
 send_all_crashes(struct peer *peer)
 {
-    GArray *known;
+    GArray *runs;
 
     if (peer->gossip->options.quarantine == NULL) {
         return;
     }
-    known = pgw_crash_quarantine_list(peer->gossip->options.quarantine,
-                                      pgw_now_us());
+    runs = pgw_crash_quarantine_list(peer->gossip->options.quarantine,
+                                     pgw_now_us());
     pgw_crashed_runs_send(peer->link,
-                          (const struct pgw_crashed_run *)(void *)known->data,
-                          known->len);
-    g_array_unref(known);
+                          (const struct pgw_crashed_run *)(void *)runs->data,
+                          runs->len);
+    g_array_unref(runs);
 }
 
 static bool
--- a/src/gateway/lease.h
+++ b/src/gateway/lease.h
@@ -41,8 +41,8 @@
 };
 
 /* A term of two seconds survives a call that times out after 1.7 s and one
- * more. The pause is the deployments' three seconds and half a second for
- * messages in flight. */
+ * more. The pause is the deployments' bound of three seconds plus half a
+ * second for messages in flight. */
 #define PGW_LEASE_OPTIONS_INIT                                                \
     {                                                                         \
         .term_us = 2000000, .pause_us = 3500000, .renew_us = 700000,          \
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -9,9 +9,9 @@
  *
  * Each mechanism that improves performance and is not needed for correctness
  * has a name. A process can be started with a file that switches it off:
- * {"off": ["load_next"]}. An operator can so disable a mechanism that does
- * damage, and its benefit can be measured. Safeguards of correctness have no
- * switch here.
+ * {"off": ["load_next"]}. So an operator can disable a mechanism that does
+ * damage, and the benefit of each can be measured. Safeguards of correctness
+ * have no switch here.
  */
 
 /**
@@ -40,7 +40,7 @@
  *   row get no backoff
  * @PGW_MECHANISM_ROUTE_PRIORITY: engines get the same priority for all
  *   requests
- * @PGW_MECHANISM_HOME_PROBES: prompts stay in the entry's zone if its pool is
+ * @PGW_MECHANISM_HOME_PROBES: prompts stay in the entry's zone if the pool is
  *   large
  * @PGW_MECHANISM_COUNT: number of mechanisms
  */
--- a/src/gateway/quota.c
+++ b/src/gateway/quota.c
@@ -31,7 +31,7 @@
  * struct workspace_quota - a workspace with a quota
  * @key: pgw_quota_key() of the workspace
  * @limits: quota in the newest configuration seen
- * @share: what this entry knows and has spent of it
+ * @share: state of the quota at this entry
  */
 struct workspace_quota {
     uint64_t key;
@@ -67,10 +67,10 @@
          uint64_t ask, double cost)
 {
     const struct pgw_gateway *gateway = quota->gateway;
-    uint64_t now = pgw_now_us();
+    uint64_t now_us = pgw_now_us();
     size_t ranked[OWNERS_TRIED];
     size_t count;
-    struct pgw_quota_share before = workspace->share;
+    struct pgw_quota_share share_before = workspace->share;
     struct pgw_quota_ask message = {
         .ask = ask,
         .request = {.workspace = workspace->key,
@@ -88,17 +88,17 @@
         size_t position = ranked[i];
 
         message.is_fallback = i > 0;
-        if (pgw_quota_owners_is_available(&quota->owners, position, now) &&
+        if (pgw_quota_owners_is_available(&quota->owners, position, now_us) &&
             gateway->sidecars->ask_quota(gateway->sidecars_context,
                                          quota->owners.items[position],
                                          &message)) {
             if (quota->owners.unanswered_since_us[position] == 0) {
-                quota->owners.unanswered_since_us[position] = now;
+                quota->owners.unanswered_since_us[position] = now_us;
             }
             return true;
         }
     }
-    workspace->share = before;
+    workspace->share = share_before;
     return false;
 }
 
@@ -219,19 +219,20 @@
     pgw_exchange_refuse(exchange, 429, "over_quota", (uint32_t)retry_ms);
 }
 
-/* Time after which a caller should retry that is refused by the owner's last
- * answer. */
+/* Time after which a caller that is refused by the owner's last answer should
+ * retry. */
 static uint64_t
 retry_after_ms(const struct pgw_quota_share *share)
 {
-    uint64_t now = pgw_now_us();
+    uint64_t now_us = pgw_now_us();
 
-    return share->retry_at_us > now ? (share->retry_at_us - now) / 1000 + 1
-                                    : RETRY_ELSEWHERE_MS;
+    return share->retry_at_us > now_us
+               ? (share->retry_at_us - now_us) / 1000 + 1
+               : RETRY_ELSEWHERE_MS;
 }
 
 static void
-forget_ask(struct pgw_quota *quota, struct pgw_exchange *exchange)
+remove_ask(struct pgw_quota *quota, struct pgw_exchange *exchange)
 {
     if (exchange->quota_ask != 0) {
         g_hash_table_remove(quota->asks, &exchange->quota_ask);
@@ -264,7 +265,7 @@
         pgw_container_of(timer, struct pgw_exchange, attempt_timer);
     struct pgw_quota *quota = exchange->gateway->quota;
 
-    forget_ask(quota, exchange);
+    remove_ask(quota, exchange);
     if (decide_locally(quota, update_workspace(quota, exchange), exchange)) {
         pgw_exchange_dispatch(exchange);
     }
@@ -364,7 +365,7 @@
 {
     struct workspace_quota *workspace;
 
-    forget_ask(quota, exchange);
+    remove_ask(quota, exchange);
     if (exchange->quota_spent <= 0 || exchange->runs > 0 ||
         exchange->may_have_run) {
         return;
@@ -398,7 +399,7 @@
         }
         return;
     }
-    forget_ask(quota, exchange);
+    remove_ask(quota, exchange);
     pgw_timer_stop(quota->gateway->loop, &exchange->attempt_timer);
     if (answer->granted > 0) {
         exchange->quota_spent = exchange->quota_cost;
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -13,8 +13,9 @@
  * quota is refused at once, without queueing and without reaching an upstream.
  *
  * One sidecar owns the quota of a workspace. It is found by rendezvous hashing
- * over the list of upstreams, so that all entries use the same one. An entry
- * sends it asks (QuotaAsk), which it answers, and reports of what was spent.
+ * over the list of upstreams, so that all entries use the same one. Entries
+ * send the owner asks (QuotaAsk), which it answers, and reports of spent
+ * units.
  */
 
 /* Maximum number of sidecars that own quotas: those with the lowest hashes.
@@ -129,7 +130,7 @@
 /** pgw_quota_handle_answer() - apply an answer of an upstream's sidecar */
 void pgw_quota_handle_answer(struct pgw_quota *quota,
                              const struct pgw_upstream *upstream,
-                             uint64_t workspace, uint64_t ask,
+                             uint64_t workspace_key, uint64_t ask,
                              const struct pgw_quota_answer *answer);
 
 #endif
--- a/src/gateway/quota_bucket.c
+++ b/src/gateway/quota_bucket.c
@@ -128,9 +128,10 @@
 static void
 add_refused(struct bucket *bucket, double units, uint64_t now_us)
 {
-    double age = (double)(now_us - bucket->refused_at_us) / REFUSED_DECAY_US;
+    double decayed_share =
+        (double)(now_us - bucket->refused_at_us) / REFUSED_DECAY_US;
 
-    bucket->refused = bucket->refused * MAX(1 - age, 0) + units;
+    bucket->refused = bucket->refused * MAX(1 - decayed_share, 0) + units;
     bucket->refused_at_us = now_us;
 }
 
--- a/src/gateway/recent_parts.h
+++ b/src/gateway/recent_parts.h
@@ -19,7 +19,7 @@
 
 /**
  * struct pgw_recent_parts - recently used parts, unordered
- * @keys: hashes of part, salt and weights; 0: free slot
+ * @keys: pgw_part_key() of each part; 0: unused
  * @used_us: when each was last used
  */
 struct pgw_recent_parts {
--- a/src/gateway/retry_budgets.h
+++ b/src/gateway/retry_budgets.h
@@ -18,7 +18,8 @@
  * struct pgw_retry_budgets_options - limits over all entries
  * @share_permille: retries per 1000 requests of a service
  * @slack: additional retries of a service, within the window of the limit
- * @entries: number of entries that share @slack, until it is known
+ * @entries: assumed number of entries that share @slack, until
+ *   pgw_retry_budgets_set_entries() sets the actual one
  */
 struct pgw_retry_budgets_options {
     uint32_t share_permille;
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -7,11 +7,11 @@
 /**
  * DOC: Where an engine gets the shared parts that it lacks
  *
- * A pure function: the engine fetches the parts from another engine or from
- * the KV store, or prefills them; it also decides whether the store saves what
- * is prefilled. A request has one source. The store is assumed to have all
- * that was saved there: a fetch that finds nothing costs a millisecond, and
- * the store's own report is up to two seconds old while its link is busy.
+ * A pure function decides whether the engine fetches the parts from another
+ * engine or from the KV store, or prefills them, and whether the store saves
+ * what is prefilled. A request has one source. The store is assumed to have
+ * all that was saved there: a fetch that finds nothing costs a millisecond,
+ * and the store's own report is up to two seconds old while its link is busy.
  */
 
 /**
--- a/src/gateway/upstream_table.c
+++ b/src/gateway/upstream_table.c
@@ -3,15 +3,16 @@
 #include "util/log.h"
 #include <string.h>
 
-/* A load report is worthless after this time: most requests last a few hundred
- * milliseconds. */
+/* Time in which the weight of a load report falls to zero: most requests last
+ * a few hundred milliseconds. */
 #define LOAD_FADE_US 1000000
-/* The prefill of a long prompt takes some hundred milliseconds. */
+/* The same for long prompts with pending tokens: their prefill takes a few
+ * hundred milliseconds. */
 #define LONG_PREFILL_FADE_US 400000
 /* Sidecars report at least once a second. Pending tokens of an older report
  * may belong to a process that has ended. */
 #define PENDING_MAX_AGE_US 1200000
-/* Weight of one attempt in the moving average of failures, which so covers
+/* Weight of one attempt in the moving average of failures: the average covers
  * about the last 16 attempts. */
 #define FAILURE_RATE_WEIGHT (1.0 / 16.0)
 /* First backoff after an upstream was unreachable or its connection broke,
@@ -149,7 +150,7 @@
 
 static void
 pool_add(struct pgw_upstream_table *table, struct pgw_upstream *upstream,
-         bool engine)
+         bool is_engine)
 {
     struct pgw_upstream_pool *pool = pool_get(table, upstream->service);
 
@@ -157,7 +158,7 @@
     if (upstream->same_zone) {
         g_ptr_array_add(pool->local, upstream);
     }
-    pool->engines = pool->engines || engine;
+    pool->engines = pool->engines || is_engine;
     pool->remote_on_request = pool->engines && table->remote_on_request;
 }
 
@@ -289,20 +290,20 @@
                              struct pgw_upstream *upstream,
                              uint64_t started_ms)
 {
-    uint64_t before = upstream->started_ms;
+    uint64_t earlier_start_ms = upstream->started_ms;
 
-    if (started_ms == 0 || started_ms == before) {
+    if (started_ms == 0 || started_ms == earlier_start_ms) {
         return;
     }
     upstream->started_ms = started_ms;
-    if (before == 0) {
+    if (earlier_start_ms == 0) {
         return; /* the first known start is not a restart */
     }
     pgw_log_info("upstream_restarted",
                  "upstream=%s started_ms=%" G_GUINT64_FORMAT
                  " before_ms=%" G_GUINT64_FORMAT,
-                 upstream->id, started_ms, before);
-    add_earlier_start(upstream, before);
+                 upstream->id, started_ms, earlier_start_ms);
+    add_earlier_start(upstream, earlier_start_ms);
     upstream->replaced_at_us = (uint64_t)g_get_monotonic_time();
     if (!upstream->leaving && table->on_lost != NULL) {
         table->on_lost(upstream, table->context);
@@ -503,27 +504,27 @@
 pgw_upstream_set_version(struct pgw_upstream *upstream, const char *model,
                          uint64_t version)
 {
-    struct pgw_model_version *entry = NULL;
+    struct pgw_model_version *model_version = NULL;
 
     for (size_t i = 0; i < upstream->model_count; i++) {
         if (strcmp(upstream->models[i].model, model) == 0) {
-            entry = &upstream->models[i];
+            model_version = &upstream->models[i];
         }
     }
-    if (entry == NULL) {
+    if (model_version == NULL) {
         if (upstream->model_count == PGW_UPSTREAM_MODELS_MAX) {
             pgw_log_warning("too_many_models", "upstream=%s model=%s",
                             upstream->id, model);
             return;
         }
-        entry = &upstream->models[upstream->model_count++];
-        entry->model = g_strdup(model);
-        entry->version = 0;
+        model_version = &upstream->models[upstream->model_count++];
+        model_version->model = g_strdup(model);
+        model_version->version = 0;
     }
-    if (version > entry->version) {
+    if (version > model_version->version) {
         /* An engine drops its KV cache when it loads new weights. */
         pgw_upstream_clear_parts(upstream);
-        entry->version = version;
+        model_version->version = version;
     }
 }
 
@@ -604,14 +605,15 @@
 /* The other entries' share of a reported number, decreasing to zero with the
  * report's age. */
 static uint64_t
-others_share(uint64_t reported, uint64_t own, uint64_t at_us, uint64_t now_us)
+others_share(uint64_t reported, uint64_t own, uint64_t reported_at_us,
+             uint64_t now_us)
 {
-    uint64_t age = now_us - at_us;
+    uint64_t age_us = now_us - reported_at_us;
 
-    if (at_us == 0 || reported <= own || age >= LOAD_FADE_US) {
+    if (reported_at_us == 0 || reported <= own || age_us >= LOAD_FADE_US) {
         return 0;
     }
-    return (reported - own) * (LOAD_FADE_US - age) / LOAD_FADE_US;
+    return (reported - own) * (LOAD_FADE_US - age_us) / LOAD_FADE_US;
 }
 
 uint32_t
@@ -639,29 +641,31 @@
 others_prefills(uint64_t reported, uint64_t own,
                 const struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t age = now_us - upstream->kv_reported_at_us;
+    uint64_t age_us = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->kv_reported_at_us == 0 || age >= LONG_PREFILL_FADE_US ||
+    if (upstream->kv_reported_at_us == 0 || age_us >= LONG_PREFILL_FADE_US ||
         reported <= own) {
         return 0;
     }
-    return (double)(reported - own) * (double)(LONG_PREFILL_FADE_US - age) /
+    return (double)(reported - own) * (double)(LONG_PREFILL_FADE_US - age_us) /
            LONG_PREFILL_FADE_US;
 }
 
 double
 pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
-                                   double prefill_rate, uint64_t now_us)
+                                   double prefill_tokens_per_ms,
+                                   uint64_t now_us)
 {
     uint64_t reported = upstream->load.pending_tokens;
     uint64_t own = upstream->own_prefill_tokens_at_report;
-    uint64_t age = now_us - upstream->kv_reported_at_us;
+    uint64_t age_us = now_us - upstream->kv_reported_at_us;
 
-    if (upstream->kv_reported_at_us == 0 || age >= PENDING_MAX_AGE_US ||
+    if (upstream->kv_reported_at_us == 0 || age_us >= PENDING_MAX_AGE_US ||
         reported <= own) {
         return 0;
     }
-    return MAX((double)(reported - own) - (double)age / 1000 * prefill_rate,
+    return MAX((double)(reported - own) -
+                   (double)age_us / 1000 * prefill_tokens_per_ms,
                0);
 }
 
@@ -675,26 +679,29 @@
 }
 
 static void
-extend_avoidance(struct pgw_upstream *upstream, uint64_t us, uint64_t now_us)
+extend_avoidance(struct pgw_upstream *upstream, uint64_t backoff_us,
+                 uint64_t now_us)
 {
-    upstream->avoid_until_us = MAX(upstream->avoid_until_us, now_us + us);
+    upstream->avoid_until_us =
+        MAX(upstream->avoid_until_us, now_us + backoff_us);
 }
 
 static void
 record_refusal(struct pgw_upstream *upstream, uint64_t now_us)
 {
-    uint64_t pause = FULL_BACKOFF_BASE_US
-                     << MIN(upstream->refusals, FULL_BACKOFF_DOUBLINGS_MAX);
+    uint64_t backoff_us = FULL_BACKOFF_BASE_US << MIN(
+                              upstream->refusals, FULL_BACKOFF_DOUBLINGS_MAX);
 
     upstream->refusals++;
-    upstream->full_until_us = MAX(upstream->full_until_us, now_us + pause);
+    upstream->full_until_us =
+        MAX(upstream->full_until_us, now_us + backoff_us);
 }
 
 void
 pgw_upstream_record_attempt(struct pgw_upstream *upstream,
                             enum pgw_attempt_result result, uint64_t now_us)
 {
-    uint64_t pause = AVOID_BACKOFF_BASE_US;
+    uint64_t backoff_us = AVOID_BACKOFF_BASE_US;
 
     if (result == PGW_RESULT_REFUSED) {
         record_refusal(upstream, now_us);
@@ -712,8 +719,8 @@
         return;
     }
     for (uint32_t i = 1;
-         i < upstream->failures && pause < AVOID_BACKOFF_MAX_US; i++) {
-        pause *= 2;
+         i < upstream->failures && backoff_us < AVOID_BACKOFF_MAX_US; i++) {
+        backoff_us *= 2;
     }
-    extend_avoidance(upstream, MIN(pause, AVOID_BACKOFF_MAX_US), now_us);
+    extend_avoidance(upstream, MIN(backoff_us, AVOID_BACKOFF_MAX_US), now_us);
 }
--- a/src/gateway/upstream_table.h
+++ b/src/gateway/upstream_table.h
@@ -412,11 +412,11 @@
  * pgw_upstream_others_pending_tokens() - estimated pending prompt tokens of
  * other entries, as far as they were announced
  * @upstream: the engine
- * @prefill_rate: tokens that an engine prefills in a millisecond
+ * @prefill_tokens_per_ms: prefill rate of an engine
  * @now_us: monotonic time
  */
 double pgw_upstream_others_pending_tokens(const struct pgw_upstream *upstream,
-                                          double prefill_rate,
+                                          double prefill_tokens_per_ms,
                                           uint64_t now_us);
 
 /** pgw_upstream_record_attempt() - update the upstream's health with the
