--- a/include/parsleygw/claim.h
+++ b/include/parsleygw/claim.h
@@ -415,7 +415,7 @@
  * @writes: writes issued
  * @reads: reads issued
  * @conflicts: writes rejected because the object has another version
- * @unknown: writes without an answer
+ * @unknown: writes whose response was lost
  * @faults: records that contradict this process's state; always 0 unless the
  *          store or another process violates the protocol
  * @slots: keys in memory now
--- a/include/parsleygw/config.h
+++ b/include/parsleygw/config.h
@@ -46,7 +46,7 @@
  * @repeatable: idempotent: a run whose outcome is unknown may be retried
  * @ttft_weight: 0..1, weight of time to first token against recomputation
  * @level_marker: text that separates the prompt's levels; empty: one level
- * @max_tokens: largest number of tokens in a response
+ * @max_tokens: largest number of tokens of an answer
  * @workspaces: NULL-terminated names that may use it; "*": all
  */
 struct pgw_profile {
--- a/include/parsleygw/member.h
+++ b/include/parsleygw/member.h
@@ -167,7 +167,7 @@
  * @members: the tracker
  * @id: the instance
  * @incarnation: whose connection was lost; 0: none could be established
- * @now_us: present time
+ * @now_us: current time
  *
  * The loss of an older incarnation's connection is ignored.
  */
--- a/include/parsleygw/permit.h
+++ b/include/parsleygw/permit.h
@@ -11,7 +11,7 @@
 G_BEGIN_DECLS
 
 /**
- * DOC: Permits for orders to engines, with fencing numbers
+ * DOC: Permits for orders to engines, with fencing tokens
  *
  * One store object per pool (kind %PGW_PERMIT_KIND) lists the orders in
  * progress, at most the declared number of weight loads at once. Every step
@@ -20,12 +20,12 @@
  * only after its start was written, so exactly one of a reclaim and a start
  * takes effect, however long either side was paused before its write.
  *
- * A grant's fencing number is the version that its write replaced, plus one.
- * Versions come from the store's one counter, so fencing numbers only grow,
- * even when the object is deleted and recreated. A holder that was paused
- * after its start and was replaced has a smaller number than its successor:
- * the engine rejects the order if it checks the number, otherwise the sidecar
- * does, see &struct pgw_permit_fencing.
+ * A grant's fencing token is a number (below: fencing number): the version
+ * that its write replaced, plus one. Versions come from the store's one
+ * counter, so fencing numbers only grow, even when the object is deleted and
+ * recreated. A holder that was paused after its start and was replaced has a
+ * smaller number than its successor: the engine refuses the order if it checks
+ * the number, otherwise the sidecar does, see &struct pgw_permit_fencing.
  *
  * A lease counts as lapsed when an observer has seen its heartbeat counter
  * unchanged for a whole term by the observer's own clock; clocks of different
@@ -158,7 +158,7 @@
  * A process that resumes a started order resends it under its own number
  * before it releases the permit, even if the engine already shows the order's
  * effect: only an order that arrived makes the engine, or the sidecar's
- * fencing, reject the smaller number of an earlier holder that continues after
+ * fencing, refuse the smaller number of an earlier holder that continues after
  * a pause.
  */
 enum pgw_permit_step {
@@ -229,7 +229,7 @@
 
 /**
  * struct pgw_permit_fencing - highest fencing number sent to an engine
- * @high_water: smaller numbers are rejected; initialize with the number in the
+ * @high_water: smaller numbers are refused; initialize with the number in the
  *   engine's status or in the permit object
  *
  * Every order is checked here before it is sent, since some engines ignore
--- a/include/parsleygw/place.h
+++ b/include/parsleygw/place.h
@@ -254,12 +254,12 @@
                              uint64_t sent_us);
 
 /**
- * pgw_place_charge_since() - tokens sent at or after the time of a report
+ * pgw_place_charge_since() - tokens sent at or after a time
  * @charge: charge of the upstream
- * @reported_us: time of the report, on the clock of pgw_place_charge_add()
+ * @since_us: the time, on the clock of pgw_place_charge_add()
  */
 uint32_t pgw_place_charge_since(const struct pgw_place_charge *charge,
-                                uint64_t reported_us);
+                                uint64_t since_us);
 
 G_END_DECLS
 
--- a/include/parsleygw/types.h
+++ b/include/parsleygw/types.h
@@ -40,7 +40,7 @@
 /**
  * enum pgw_ran - whether a failed request has run
  * @PGW_RAN_NO: no upstream started it
- * @PGW_RAN_YES: it ran, but its response is not available
+ * @PGW_RAN_YES: it ran, but its answer is not available
  * @PGW_RAN_UNKNOWN: it may have run
  */
 enum pgw_ran {
@@ -50,7 +50,7 @@
 };
 
 /**
- * enum pgw_refusal - why a request got no complete response
+ * enum pgw_refusal - why a request got no complete answer
  * @PGW_REFUSAL_BAD_REQUEST: malformed or out of range
  * @PGW_REFUSAL_TOO_LARGE: over a size limit
  * @PGW_REFUSAL_UNAUTHORIZED: no valid key
@@ -94,7 +94,7 @@
 };
 
 /**
- * pgw_refusal_name() - stable code of a refusal in responses to callers
+ * pgw_refusal_name() - stable code of a refusal in answers to callers
  * @refusal: one of &enum pgw_refusal
  *
  * Return: a static lower-case string, "internal" for a value out of range.
--- a/src/libparsleygw/admit.c
+++ b/src/libparsleygw/admit.c
@@ -206,10 +206,10 @@
 }
 
 /*
- * Otherwise one workspace could fill the queue, and all others would be
- * refused. Each workspace gets a part of the queue by its share among the
- * workspaces that wait now, and at least MIN_WAITING_PER_FLOW. Twice the limit
- * bounds the memory.
+ * Without a limit per workspace, one workspace could fill the queue, and all
+ * others would be refused. Each workspace gets a part of the queue by its
+ * share among the workspaces that wait now, and at least MIN_WAITING_PER_FLOW.
+ * Twice max_waiting bounds the memory.
  */
 static bool
 queue_is_full(const struct pgw_admit *admit, const struct pgw_admit_item *item)
--- a/src/libparsleygw/attempt.c
+++ b/src/libparsleygw/attempt.c
@@ -83,7 +83,7 @@
     /*
      * Failure: the first attempt ended unknown, the second is refused before
      * it ran. Symptom: the caller gets "not run" although the first attempt
-     * may have run. The answer is the worst of all attempts, so "no" requires
+     * may have run. The value is the worst of all attempts, so "no" requires
      * that none of them ran.
      */
     if (ran == PGW_RAN_YES ||
--- a/src/libparsleygw/claim_reconcile.c
+++ b/src/libparsleygw/claim_reconcile.c
@@ -207,8 +207,8 @@
 }
 
 static bool
-may_run_from_memory(const struct pgw_claim_shard *shard,
-                    const struct pgw_claim_slot *slot)
+may_run_without_store(const struct pgw_claim_shard *shard,
+                      const struct pgw_claim_slot *slot)
 {
     const struct pgw_claim_record *record =
         pgw_claim__object_get(shard->base, slot->name);
@@ -224,7 +224,7 @@
         return true;
     }
     if (pgw_claim__first_waiter(slot) != NULL &&
-        may_run_from_memory(shard, slot)) {
+        may_run_without_store(shard, slot)) {
         slot->dirty = true;
         pgw_claim__grant(shard, slot);
         return true;
@@ -249,14 +249,14 @@
     pgw_list_foreach_safe (link, &slot->waiters) {
         struct pgw_claim_waiter *waiter =
             pgw_container_of(link, struct pgw_claim_waiter, link);
-        bool late = shard->now_us >= waiter->deadline_us;
-        bool asking = slot->state == PGW_SLOT_CLAIMING;
+        bool is_late = shard->now_us >= waiter->deadline_us;
+        bool is_claiming = slot->state == PGW_SLOT_CLAIMING;
 
-        if (late) {
+        if (is_late) {
             refuse_pending(shard, slot, waiter, PGW_REFUSAL_DEADLINE);
         }
-        else if (asking && shard->now_us >= waiter->refuse_at_us) {
-            if (may_run_from_memory(shard, slot)) {
+        else if (is_claiming && shard->now_us >= waiter->refuse_at_us) {
+            if (may_run_without_store(shard, slot)) {
                 slot->dirty = true;
                 pgw_claim__grant(shard, slot);
                 return expire_slot(shard, slot);
@@ -265,9 +265,9 @@
         }
         else {
             shard->expire_us =
-                MIN(shard->expire_us,
-                    asking ? MIN(waiter->deadline_us, waiter->refuse_at_us)
-                           : waiter->deadline_us);
+                MIN(shard->expire_us, is_claiming ? MIN(waiter->deadline_us,
+                                                        waiter->refuse_at_us)
+                                                  : waiter->deadline_us);
         }
     }
     return pgw_claim__release_abandoned(slot);
--- a/src/libparsleygw/config_feed.c
+++ b/src/libparsleygw/config_feed.c
@@ -155,31 +155,31 @@
                        const char *value, void *data)
 {
     GHashTable *highest = data;
-    uint64_t *version_held = g_hash_table_lookup(highest, kind);
+    uint64_t *highest_version = g_hash_table_lookup(highest, kind);
 
     (void)name;
     (void)value;
-    if (version_held == NULL) {
-        version_held = g_new0(uint64_t, 1);
-        g_hash_table_insert(highest, (gpointer)kind, version_held);
+    if (highest_version == NULL) {
+        highest_version = g_new0(uint64_t, 1);
+        g_hash_table_insert(highest, (gpointer)kind, highest_version);
     }
-    *version_held = MAX(*version_held, version);
+    *highest_version = MAX(*highest_version, version);
 }
 
 static void
-update_held_versions(struct pgw_config_feed *feed)
+update_local_versions(struct pgw_config_feed *feed)
 {
     GHashTable *highest =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     GHashTableIter iter;
     gpointer kind;
-    gpointer version_held;
+    gpointer highest_version;
 
     pgw_config_set_foreach(feed->options.set, record_highest_version, highest);
     g_hash_table_iter_init(&iter, highest);
-    while (g_hash_table_iter_next(&iter, &kind, &version_held)) {
+    while (g_hash_table_iter_next(&iter, &kind, &highest_version)) {
         pgw_watch_set_local_version(feed->watch, kind,
-                                    *(uint64_t *)version_held);
+                                    *(uint64_t *)highest_version);
     }
     /* Sidecars send all quarantine records when an entry connects, and usually
      * there are none: a process without records need not read the store. */
@@ -216,7 +216,7 @@
     pgw_watch_set_peers(feed->watch, (const char *const *)peers->pdata,
                         peers->len);
     g_ptr_array_unref(peers);
-    update_held_versions(feed);
+    update_local_versions(feed);
 }
 
 struct pgw_store *
--- a/src/libparsleygw/link.c
+++ b/src/libparsleygw/link.c
@@ -107,7 +107,7 @@
  * Stops sending after a send error but keeps reading. A peer that has sent its
  * last frames and closed resets the connection on the next byte from this
  * side. Closing the link at once would drop received frames, among them final
- * frames of responses, and their callers would get an unknown outcome. Reading
+ * frames of answers, and their callers would get an unknown outcome. Reading
  * returns the remaining frames and then the end of the stream.
  */
 static void
--- a/src/libparsleygw/orders.c
+++ b/src/libparsleygw/orders.c
@@ -21,7 +21,8 @@
     struct pgw_permit_observer observer;
     struct pgw_permit_fencing fencing;
     struct pgw_permit_slot slot;
-    uint64_t permit_written_us; /* start of our last step that succeeded */
+    /* Start of the last permit step that succeeded. */
+    uint64_t permit_written_us;
     /* Generation that the order was computed from; 0: order of an earlier
      * process. */
     uint64_t order_generation;
@@ -221,7 +222,7 @@
 /*
  * A process that was paused, or that started from an old copy of the
  * configuration, would acquire a permit with a new fencing number and order
- * outdated weights, which no engine rejects. The store is therefore read
+ * outdated weights, which no engine refuses. The store is therefore read
  * first. An order of an earlier process is not checked: it has already begun
  * and only needs to be ended.
  */
--- a/src/libparsleygw/orders.h
+++ b/src/libparsleygw/orders.h
@@ -59,7 +59,7 @@
  * @store: the store; must outlive the &struct pgw_orders
  * @engine_url: the engine, "http://ip:port"
  * @scope: name of the permit object: the pool's name
- * @target: upstream
+ * @target: upstream whose engine receives the orders
  * @holder: this process: instance and incarnation
  * @hold: true: send no new request to the engine; false: resume. Called on
  *   this module's thread
--- a/src/libparsleygw/permit.c
+++ b/src/libparsleygw/permit.c
@@ -174,7 +174,7 @@
     }
     /* The holder is dead or paused. Its successor resumes a started order
      * under a higher number, so that an order sent by the old holder after its
-     * pause is rejected. */
+     * pause is refused. */
 #ifndef PGW_DISABLE_PERMIT_FENCE
     slot->fence = next_fence(decision->table);
 #endif
--- a/src/libparsleygw/place_charge.c
+++ b/src/libparsleygw/place_charge.c
@@ -35,9 +35,9 @@
 
 uint32_t
 pgw_place_charge_since(const struct pgw_place_charge *charge,
-                       uint64_t reported_us)
+                       uint64_t since_us)
 {
-    uint32_t first = slot_number(reported_us);
+    uint32_t first = slot_number(since_us);
     uint64_t sum = 0;
 
     for (size_t i = 0; i < PGW_PLACE_CHARGE_SLOTS; i++) {
--- a/src/libparsleygw/place_choice.c
+++ b/src/libparsleygw/place_choice.c
@@ -50,7 +50,7 @@
     return (cost_model->prompt_tokens - cached) * cost_model->us_per_token;
 }
 
-/* Time before the request's own prefill starts, by the sidecar's report. */
+/* Time before the request's own prefill starts, by the sidecar's reply. */
 static double
 reported_wait_us(const struct cost_model *cost_model,
                  const struct pgw_place_candidate *candidate)
@@ -74,11 +74,11 @@
 }
 
 /*
- * Failure: a report is old and no longer describes the current load. Symptom:
+ * Failure: a reply is old and no longer describes the current load. Symptom:
  * all entries choose the upstream that looked idle, and the load oscillates
- * between upstreams with the period of the reports. As a report ages, the
+ * between upstreams with the period of the replies. As a reply ages, the
  * expected wait moves towards the mean with random jitter, and the tokens that
- * this entry has sent since the report are added.
+ * this entry has sent since the reply are added.
  */
 static double
 expected_wait_us(const struct cost_model *cost_model,
--- a/src/libparsleygw/quarantine.c
+++ b/src/libparsleygw/quarantine.c
@@ -235,12 +235,12 @@
 remove_from_list(struct pgw_list *head, uint64_t ticket)
 {
     pgw_list_foreach_safe (link, head) {
-        struct pgw_suspect_waiter *entry =
+        struct pgw_suspect_waiter *waiter =
             pgw_container_of(link, struct pgw_suspect_waiter, link);
 
-        if (entry->ticket == ticket) {
+        if (waiter->ticket == ticket) {
             pgw_list_remove(link);
-            g_free(entry);
+            g_free(waiter);
         }
     }
 }
@@ -267,7 +267,7 @@
                             uint64_t ticket, uint64_t crash, uint64_t now_us)
 {
     struct pgw_suspect *suspect;
-    struct pgw_suspect_crash *entry;
+    struct pgw_suspect_crash *pending_crash;
 
     pgw_quarantine__advance_time(quarantine, now_us);
     suspect = pgw_quarantine__find_or_add(quarantine, fingerprint);
@@ -276,12 +276,12 @@
     }
     remove_ticket(suspect, ticket);
     suspect->needs_delete = false;
-    entry = g_new0(struct pgw_suspect_crash, 1);
-    entry->ticket = ticket;
-    entry->crash_id = crash;
-    entry->record_deadline_us =
+    pending_crash = g_new0(struct pgw_suspect_crash, 1);
+    pending_crash->ticket = ticket;
+    pending_crash->crash_id = crash;
+    pending_crash->record_deadline_us =
         quarantine->now_us + quarantine->options.record_timeout_us;
-    pgw_list_append(&suspect->crashes, &entry->link);
+    pgw_list_append(&suspect->crashes, &pending_crash->link);
 }
 
 static bool
--- a/src/libparsleygw/quarantine_suspect.h
+++ b/src/libparsleygw/quarantine_suspect.h
@@ -22,8 +22,8 @@
 };
 
 /**
- * struct pgw_suspect_waiter - a request that waits for an answer of the store,
- * or a request that runs without a permit
+ * struct pgw_suspect_waiter - a request that waits for a decision, or one that
+ * runs without a permit
  * @deadline_us: when the wait ends with a refusal
  * @sync_was_stale: the records here were out of date when the request arrived
  */
--- a/src/libparsleygw/store_response.h
+++ b/src/libparsleygw/store_response.h
@@ -1,5 +1,5 @@
-#ifndef PGW_STORE_ANSWER_H
-#define PGW_STORE_ANSWER_H
+#ifndef PGW_STORE_RESPONSE_H
+#define PGW_STORE_RESPONSE_H
 
 #include "parsleygw/store.h"
 
--- a/src/libparsleygw/sync.c
+++ b/src/libparsleygw/sync.c
@@ -16,15 +16,15 @@
 struct pgw_sync {
     struct pgw_sync_options options;
     GPtrArray *links;
-    GHashTable *summaries; /* link -> last struct peer_digest */
+    GHashTable *peer_digests; /* link -> last struct peer_digest */
     struct pgw_sync_turn turn;
     struct pgw_sync_copy copies;
     struct pgw_timer copy_timer;
-    uint64_t empty; /* summary of an empty set */
-    atomic_bool settled;
-    bool listed; /* all kinds were listed from the store */
-    bool seeded; /* the set started from a bootstrap file */
-    struct pgw_timer timer;
+    uint64_t empty_summary; /* of an empty set */
+    atomic_bool settled;    /* see pgw_sync_is_settled() */
+    bool listed;            /* all kinds were listed from the store */
+    bool seeded;            /* the set started from a bootstrap file */
+    struct pgw_timer exchange_timer;
     struct pgw_task notify;
     bool notify_queued;
     bool freed;
@@ -36,6 +36,8 @@
     bool complete;
 };
 
+/* Whether digests say that the replica is complete. A full copy from a
+ * bootstrap file counts for peers, but does not settle this process. */
 static bool
 is_complete(const struct pgw_sync *sync)
 {
@@ -60,7 +62,8 @@
 static void
 on_exchange_timer(struct pgw_timer *timer)
 {
-    struct pgw_sync *sync = pgw_container_of(timer, struct pgw_sync, timer);
+    struct pgw_sync *sync =
+        pgw_container_of(timer, struct pgw_sync, exchange_timer);
     uint64_t interval = sync->options.interval_us;
 
     if (sync->links->len > 0) {
@@ -109,13 +112,14 @@
 
     sync->options = *options;
     sync->links = g_ptr_array_new();
-    sync->summaries = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    sync->peer_digests = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     sync->copies = (struct pgw_sync_copy)PGW_SYNC_COPY_INIT;
     sync->copy_timer.on_due = on_copy_timer;
-    sync->empty = compute_empty_summary();
-    sync->timer.on_due = on_exchange_timer;
+    sync->empty_summary = compute_empty_summary();
+    sync->exchange_timer.on_due = on_exchange_timer;
     sync->notify.run = run_notify;
-    pgw_timer_start(options->loop, &sync->timer, options->interval_us);
+    pgw_timer_start(options->loop, &sync->exchange_timer,
+                    options->interval_us);
     return sync;
 }
 
@@ -125,11 +129,11 @@
     if (sync == NULL) {
         return;
     }
-    pgw_timer_stop(sync->options.loop, &sync->timer);
+    pgw_timer_stop(sync->options.loop, &sync->exchange_timer);
     pgw_timer_stop(sync->options.loop, &sync->copy_timer);
     g_queue_clear(&sync->copies.waiting);
     g_ptr_array_unref(sync->links);
-    g_hash_table_unref(sync->summaries);
+    g_hash_table_unref(sync->peer_digests);
     sync->freed = true;
     if (!sync->notify_queued) {
         g_free(sync);
@@ -149,7 +153,7 @@
 pgw_sync_remove_link(struct pgw_sync *sync, struct pgw_link *link)
 {
     g_ptr_array_remove_fast(sync->links, link);
-    g_hash_table_remove(sync->summaries, link);
+    g_hash_table_remove(sync->peer_digests, link);
     pgw_sync_turn_release(&sync->turn, link);
     pgw_sync_copy_remove(&sync->copies, link);
 }
@@ -163,7 +167,7 @@
 static bool
 is_empty(const struct pgw_sync *sync)
 {
-    return pgw_config_set_summary(sync->options.set) == sync->empty;
+    return pgw_config_set_summary(sync->options.set) == sync->empty_summary;
 }
 
 static void
@@ -210,7 +214,7 @@
 settle_if_equal(struct pgw_sync *sync, const struct pgw_link *link)
 {
     const struct peer_digest *theirs =
-        g_hash_table_lookup(sync->summaries, link);
+        g_hash_table_lookup(sync->peer_digests, link);
 
     if (theirs == NULL ||
         theirs->summary != pgw_config_set_summary(sync->options.set)) {
@@ -230,7 +234,7 @@
 
     last->summary = digest->summary;
     last->complete = digest->complete;
-    g_hash_table_insert(sync->summaries, link, last);
+    g_hash_table_insert(sync->peer_digests, link, last);
     settle_if_equal(sync, link);
 }
 
@@ -403,13 +407,13 @@
         }
     }
     for (size_t i = 0; i < digest->n_objects; i++) {
-        struct pgw_config_version line = {
+        struct pgw_config_version item = {
             .kind = digest->objects[i]->kind,
             .name = digest->objects[i]->name,
             .version = digest->objects[i]->version,
         };
 
-        g_array_append_val(peer, line);
+        g_array_append_val(peer, item);
     }
     pgw_object_batch_init(&batch, link);
     newer_at_peer = pgw_config_set_diff(
@@ -519,7 +523,7 @@
         return;
     }
 #ifndef PGW_DISABLE_SYNC_COPY
-    if (digest->summary == sync->empty) {
+    if (digest->summary == sync->empty_summary) {
         handle_empty_peer(sync, link, digest);
         return;
     }
--- a/src/libparsleygw/sync_copy.h
+++ b/src/libparsleygw/sync_copy.h
@@ -52,7 +52,7 @@
  * pgw_sync_copy_next() - take the next link to send a copy to
  * @copy: the queue; the returned link is removed from it
  * @pending: bytes not sent yet on @current, if there is one
- * @now_us: present time
+ * @now_us: current time
  *
  * Return: a link; NULL if none waits or the current copy is still being sent.
  */
--- a/src/libparsleygw/sync_turn.h
+++ b/src/libparsleygw/sync_turn.h
@@ -25,7 +25,8 @@
 #define PGW_SYNC_TURN_MAX_US UINT64_C(5000000)
 
 /**
- * struct pgw_sync_turn - the one link that details are exchanged with
+ * struct pgw_sync_turn - the link that versions and objects are exchanged
+ * with
  * @partner: the link; NULL: none
  * @started_us: when its turn started
  * @last_active_us: when it last sent something
@@ -54,9 +55,9 @@
                            uint64_t now_us);
 
 /**
- * pgw_sync_turn_try_request_copy() - may the full copy be requested now?
+ * pgw_sync_turn_try_request_copy() - whether to request the full copy now
  * @turn: the partner's turn; records the request
- * @now_us: present time
+ * @now_us: current time
  *
  * Two requests in a row would make the partner send two copies. Without a
  * later second request, a partner that did not answer would leave this process
--- a/src/libparsleygw/types.c
+++ b/src/libparsleygw/types.c
@@ -1,11 +1,11 @@
 #include "parsleygw/types.h"
 
-struct refusal_entry {
+struct refusal_info {
     const char *name;
     unsigned status;
 };
 
-static const struct refusal_entry refusals[PGW_REFUSAL_COUNT] = {
+static const struct refusal_info refusals[PGW_REFUSAL_COUNT] = {
     [PGW_REFUSAL_BAD_REQUEST] = {"bad_request", 400},
     [PGW_REFUSAL_TOO_LARGE] = {"too_large", 413},
     [PGW_REFUSAL_UNAUTHORIZED] = {"unauthorized", 401},
@@ -33,8 +33,8 @@
     [PGW_PRIORITY_BATCH] = "batch",
 };
 
-static const struct refusal_entry *
-refusal_entry(int refusal)
+static const struct refusal_info *
+refusal_info(int refusal)
 {
     if (refusal < 0 || refusal >= PGW_REFUSAL_COUNT) {
         refusal = PGW_REFUSAL_INTERNAL;
@@ -45,13 +45,13 @@
 const char *
 pgw_refusal_name(int refusal)
 {
-    return refusal_entry(refusal)->name;
+    return refusal_info(refusal)->name;
 }
 
 unsigned
 pgw_refusal_status(int refusal)
 {
-    return refusal_entry(refusal)->status;
+    return refusal_info(refusal)->status;
 }
 
 const char *
--- a/src/libparsleygw/watch_rule.c
+++ b/src/libparsleygw/watch_rule.c
@@ -115,7 +115,7 @@
 }
 
 /* Whether the set contains every object of the list. An object that this
- * process rejected keeps its older version. Marking the set as listed at the
+ * process refused keeps its older version. Marking the set as listed at the
  * list's version would turn that into a deletion. */
 static bool
 is_applied(const struct pgw_watch_batch *batch,
