--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -222,19 +222,22 @@
     struct pgw_connection *connection =
         pgw_container_of(reader, struct pgw_connection, reader);
     struct pgw_call *call = connection->call;
-    const char *keep = pgw_http_head_find(&reader->head, "Keep-Alive");
+    const char *keep_alive = pgw_http_head_find(&reader->head, "Keep-Alive");
 
     connection->skipping = false;
     if (call == NULL) {
         return;
     }
     connection->keep_us = connection->pool->options.idle_us;
-    if (keep != NULL && (keep = strstr(keep, "timeout=")) != NULL) {
-        uint64_t limit = g_ascii_strtoull(keep + 8, NULL, 10) * 1000000;
+    if (keep_alive != NULL &&
+        (keep_alive = strstr(keep_alive, "timeout=")) != NULL) {
+        uint64_t limit_us =
+            g_ascii_strtoull(keep_alive + 8, NULL, 10) * 1000000;
 
-        limit = limit > KEEP_ALIVE_MARGIN_US ? limit - KEEP_ALIVE_MARGIN_US
-                                             : limit / 4;
-        connection->keep_us = MIN(connection->keep_us, limit);
+        limit_us = limit_us > KEEP_ALIVE_MARGIN_US
+                       ? limit_us - KEEP_ALIVE_MARGIN_US
+                       : limit_us / 4;
+        connection->keep_us = MIN(connection->keep_us, limit_us);
     }
     call->answered = true;
     if (!call->ops->on_head(call, &reader->head)) {
@@ -345,9 +348,9 @@
 connection_read(struct pgw_connection *connection)
 {
     char *buffer = connection->pool->buffer;
-    ssize_t got = recv(connection->watch.fd, buffer, READ_SIZE, 0);
+    ssize_t received = recv(connection->watch.fd, buffer, READ_SIZE, 0);
 
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
     if (connection->call == NULL) {
@@ -355,12 +358,12 @@
         connection_close(connection);
         return;
     }
-    if (got < 0) {
+    if (received < 0) {
         connection_fail(connection, PGW_CALL_CLOSED);
         return;
     }
-    if (got > 0) {
-        parse_received(connection, buffer, (size_t)got);
+    if (received > 0) {
+        parse_received(connection, buffer, (size_t)received);
         return;
     }
     /* An answer without a length ends here; any other is incomplete. */
--- a/src/gateway/caller.c
+++ b/src/gateway/caller.c
@@ -14,7 +14,7 @@
 /* Most accepts in one turn of the loop, so that a burst of connections does
  * not delay answers. */
 #define ACCEPT_BATCH 32
-/* Bytes that are buffered of pipelined requests. */
+/* Most bytes of pipelined requests that are buffered. */
 #define PIPELINE_LIMIT ((size_t)64 * 1024)
 /* A caller with more buffered output than this has stopped reading; its
  * connection is closed, which bounds the memory for slow callers. */
@@ -23,6 +23,7 @@
 #define BODY_RESERVE ((size_t)256 * 1024)
 /* Time for a caller to read the last answer after the half-close. */
 #define LINGER_US 500000
+/* TCP_USER_TIMEOUT of the connections. */
 #define USER_TIMEOUT_MS 5000
 
 static struct pgw_metric_counter accepted_connections = {
@@ -95,7 +96,8 @@
     pgw_timer_stop(server->loop, &caller->timer);
     pgw_loop_fd_remove(server->loop, &caller->watch);
     close(caller->watch.fd);
-    /* A posted "next" task runs before this one and finds it closed. */
+    /* A @next task that is already posted runs before this one and does
+     * nothing, since @closed is set. */
     caller->reap.run = caller_reap;
     pgw_loop_post(server->loop, &caller->reap);
 }
--- a/src/gateway/engine_sidecar.c
+++ b/src/gateway/engine_sidecar.c
@@ -53,11 +53,11 @@
         handle_hello(entry, (const Pgw__Hello *)message);
     }
     else if (type == PGW_FRAME_LOAD_WEIGHTS) {
-        const Pgw__LoadWeights *load = (const Pgw__LoadWeights *)message;
+        const Pgw__LoadWeights *target = (const Pgw__LoadWeights *)message;
 
         pgw_engine_sidecar_set_target_weights(
-            entry->sidecar, load->model, load->version,
-            load->start_in_ms * 1000ULL, load->instance);
+            entry->sidecar, target->model, target->version,
+            target->start_in_ms * 1000ULL, target->instance);
     }
     else if (type == PGW_FRAME_EXPECTED_PARTS) {
         handle_announcement(entry->sidecar,
--- a/src/gateway/http_reader.c
+++ b/src/gateway/http_reader.c
@@ -50,17 +50,18 @@
 static bool
 list_contains(const char *list, const char *name)
 {
-    size_t length = strlen(name);
+    size_t name_size = strlen(name);
 
     while (*list != '\0') {
-        size_t token;
+        size_t token_size;
 
         list += strspn(list, ", \t");
-        token = strcspn(list, ", \t");
-        if (token == length && g_ascii_strncasecmp(list, name, token) == 0) {
+        token_size = strcspn(list, ", \t");
+        if (token_size == name_size &&
+            g_ascii_strncasecmp(list, name, token_size) == 0) {
             return true;
         }
-        list += token;
+        list += token_size;
     }
     return false;
 }
@@ -111,8 +112,9 @@
     return count_head_bytes(reader, size);
 }
 
+/* Removes white space at the end of the last value. */
 static void
-end_value(struct pgw_http_reader *reader)
+trim_last_value(struct pgw_http_reader *reader)
 {
     struct pgw_http_head *head = &reader->head;
     uint32_t start;
@@ -137,7 +139,7 @@
         return 0; /* trailers are not forwarded */
     }
     if (reader->in_value || head->count == 0) {
-        end_value(reader);
+        trim_last_value(reader);
         if (head->count == PGW_HTTP_FIELDS_MAX) {
             reader->too_large = true;
             return 1;
@@ -167,6 +169,7 @@
         head->values[head->count - 1] = (uint32_t)head->text->len;
     }
     g_string_append_len(head->text, data, (gssize)size);
+    /* 4: the separator ": " and the CRLF. */
     return count_head_bytes(reader, size + 4);
 }
 
@@ -191,7 +194,7 @@
     struct pgw_http_reader *reader = reader_of(parser);
     struct pgw_http_head *head = &reader->head;
 
-    end_value(reader);
+    trim_last_value(reader);
     for (unsigned i = 0; i < head->count; i++) {
         if (head->values[i] == 0) {
             head->values[i] = (uint32_t)head->text->len;
--- a/src/gateway/relay.c
+++ b/src/gateway/relay.c
@@ -198,15 +198,15 @@
 static void
 measure_decode_time(const struct pgw_exchange *exchange)
 {
-    uint64_t now = pgw_now_us();
+    uint64_t now_us = pgw_now_us();
 
     if (exchange->is_stream && exchange->sends == 1 &&
         exchange->facts.prompt.output_tokens > 0) {
         pgw_moving_average_add(&exchange->gateway->ms_per_output_token,
-                               (double)(now - exchange->first_event_us) /
+                               (double)(now_us - exchange->first_event_us) /
                                    1000.0 /
                                    exchange->facts.prompt.output_tokens,
-                               now);
+                               now_us);
     }
 }
 
--- a/src/gateway/report_budget.c
+++ b/src/gateway/report_budget.c
@@ -7,7 +7,8 @@
 #define LOCAL_BYTES_PER_S_WITH_REMOTE 8000.0
 /* Bytes per second for all entries of other zones together. */
 #define REMOTE_BYTES_PER_S 8192ULL
-/* The share of these for the reports without their parts. */
+/* Of these, the bytes for the load in each report; the rest is for cached
+ * parts. */
 #define REMOTE_LOAD_BYTES_PER_S 2048ULL
 /* Shortest interval of reports, however few entries there are. */
 #define REMOTE_INTERVAL_MIN_US 100000
--- a/src/gateway/rollout_window.c
+++ b/src/gateway/rollout_window.c
@@ -2,8 +2,8 @@
 #include <glib.h>
 #include <stdlib.h>
 
-/* When the first and the last engine start loading that were never selected,
- * as multiples of the time for which their weights are usable. */
+/* Engines that were never selected start loading between these multiples of
+ * the time for which their weights are usable. */
 #define UNSELECTED_START_FIRST 1.0
 #define UNSELECTED_START_LAST 1.15
 
@@ -18,14 +18,14 @@
 uint64_t
 pgw_weights_load_times_expected_us(const struct pgw_weights_load_times *times)
 {
-    uint64_t least = 0;
+    uint64_t shortest_us = 0;
 
     for (size_t i = 0; i < times->count; i++) {
-        if (least == 0 || times->samples[i] < least) {
-            least = times->samples[i];
+        if (shortest_us == 0 || times->samples[i] < shortest_us) {
+            shortest_us = times->samples[i];
         }
     }
-    return least;
+    return shortest_us;
 }
 
 unsigned
--- a/src/gateway/target_weights.c
+++ b/src/gateway/target_weights.c
@@ -30,14 +30,14 @@
 pgw_target_weights_oldest_usable(const struct pgw_target_weights *weights,
                                  uint64_t limit_us, uint64_t now_us)
 {
-    uint64_t least = 0;
+    uint64_t oldest_usable = 0;
 
     for (size_t i = 0; i < weights->count; i++) {
         if (now_us >= weights->versions[i].announced_at_us + limit_us) {
-            least = weights->versions[i].version;
+            oldest_usable = weights->versions[i].version;
         }
     }
-    return least;
+    return oldest_usable;
 }
 
 uint64_t
--- a/src/gateway/unresponsive.c
+++ b/src/gateway/unresponsive.c
@@ -113,7 +113,7 @@
 }
 
 /* Whether the request was sent to a process that another one has replaced, and
- * no byte has arrived within the grace period for late ones. */
+ * no byte has arrived within the grace period for late bytes. */
 static bool
 has_process_ended(const struct pgw_exchange *exchange, uint64_t now_us)
 {
@@ -143,12 +143,12 @@
 void
 pgw_unresponsive_check(struct pgw_gateway *gateway)
 {
-    uint64_t now = pgw_now_us();
+    uint64_t now_us = pgw_now_us();
     unsigned suspects = 0;
 
     pgw_list_foreach (link, pgw_upstream_table_all(gateway->upstreams)) {
         suspects += log_liveness_change(
-            pgw_container_of(link, struct pgw_upstream, in_table), now);
+            pgw_container_of(link, struct pgw_upstream, in_table), now_us);
     }
     pgw_metric_gauge_set(&unresponsive_upstreams, suspects);
     /* Includes requests at upstreams that are no longer in the table. */
@@ -156,11 +156,11 @@
         struct pgw_exchange *exchange =
             pgw_container_of(link, struct pgw_exchange, in_gateway);
 
-        if (has_process_ended(exchange, now)) {
+        if (has_process_ended(exchange, now_us)) {
             end_for_ended_process(exchange);
         }
-        else if (is_stalled(exchange, now)) {
-            fail_over(exchange, now);
+        else if (is_stalled(exchange, now_us)) {
+            fail_over(exchange, now_us);
         }
     }
 }
--- a/src/gateway/weights_order.c
+++ b/src/gateway/weights_order.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /* Longest time for which a load stays announced without an order being sent.
- * After that the engine is announced as available, or it would serve nobody
- * while its order cannot be sent. */
+ * After that the engine is announced as available. Otherwise it would receive
+ * no requests while its order cannot be sent. */
 #define ANNOUNCEMENT_MAX_US 6000000
 
 void
